--- a/src/test/java/ochretiller/uwsgi/UwsgiTest.java
+++ b/src/test/java/ochretiller/uwsgi/UwsgiTest.java
@@ -44,7 +44,7 @@
     private static List<UwsgiRequest> read(UwsgiRequestDecoder decoder, byte[]... pieces) {
         List<UwsgiRequest> requests = new ArrayList<>();
         for (byte[] piece : pieces) {
-            decoder.read(piece, 0, piece.length, requests::add);
+            decoder.decode(piece, 0, piece.length, requests::add);
         }
         return requests;
     }
@@ -95,10 +95,10 @@
         UwsgiRequestDecoder decoder = new UwsgiRequestDecoder(MAX_BODY_BYTES);
         List<UwsgiRequest> requests = new ArrayList<>();
         for (byte each : packet) {
-            decoder.read(new byte[] {each}, 0, 1, requests::add);
+            decoder.decode(new byte[] {each}, 0, 1, requests::add);
         }
         assertThat(requests).hasSize(1);
-        assertThat(decoder.within()).isFalse();
+        assertThat(decoder.hasPartialRequest()).isFalse();
     }
 
     @Test
@@ -110,19 +110,19 @@
         out.writeBytes(orderPacket(""));
         out.writeBytes(orderPacket("bc"));
         assertThat(read(out.toByteArray()))
-                .extracting(request -> request.ping() ? "ping" : new String(request.body()))
+                .extracting(request -> request.isPing() ? "ping" : new String(request.body()))
                 .containsExactly("a", "ping", "", "bc");
     }
 
     @Test
     void reportsPartialRequest() {
         UwsgiRequestDecoder decoder = new UwsgiRequestDecoder(MAX_BODY_BYTES);
-        assertThat(decoder.within()).isFalse();
+        assertThat(decoder.hasPartialRequest()).isFalse();
         byte[] packet = orderPacket("two bolts");
         for (int length : new int[] {1, 4, 20, packet.length - 1}) {
             UwsgiRequestDecoder partial = new UwsgiRequestDecoder(MAX_BODY_BYTES);
             assertThat(read(partial, Arrays.copyOf(packet, length))).isEmpty();
-            assertThat(partial.within()).isTrue();
+            assertThat(partial.hasPartialRequest()).isTrue();
         }
     }
 
@@ -228,8 +228,8 @@
             int[] decodedCount = {0};
             try {
                 UwsgiRequestDecoder decoder = new UwsgiRequestDecoder(MAX_BODY_BYTES);
-                decoder.read(bytes, 0, cut, request -> decodedCount[0]++);
-                decoder.read(bytes, cut, bytes.length, request -> decodedCount[0]++);
+                decoder.decode(bytes, 0, cut, request -> decodedCount[0]++);
+                decoder.decode(bytes, cut, bytes.length, request -> decodedCount[0]++);
             } catch (UwsgiException e) {
                 faults++;
             }
@@ -261,8 +261,8 @@
 
     private static UwsgiResponse decodeResponse(String text, boolean isEndOfInput) {
         UwsgiResponseDecoder decoder = new UwsgiResponseDecoder(MAX_BODY_BYTES);
-        UwsgiResponse response = decoder.read(bytes(text), 0, text.length());
-        return response != null || !isEndOfInput ? response : decoder.ended();
+        UwsgiResponse response = decoder.decode(bytes(text), 0, text.length());
+        return response != null || !isEndOfInput ? response : decoder.finish();
     }
 
     @Test
@@ -291,9 +291,9 @@
                 new UwsgiResponse(200, Map.of("X-Run", "7"), bytes("result\r\n\r\n")).encode();
         for (int cut = 0; cut <= encoded.length; cut++) {
             UwsgiResponseDecoder decoder = new UwsgiResponseDecoder(MAX_BODY_BYTES);
-            UwsgiResponse first = decoder.read(encoded, 0, cut);
+            UwsgiResponse first = decoder.decode(encoded, 0, cut);
             UwsgiResponse response =
-                    first != null ? first : decoder.read(encoded, cut, encoded.length);
+                    first != null ? first : decoder.decode(encoded, cut, encoded.length);
             assertThat(response.status()).isEqualTo(200);
             assertThat(new String(response.body())).isEqualTo("result\r\n\r\n");
             if (cut < encoded.length) {
@@ -335,7 +335,7 @@
         assertThatThrownBy(
                         () -> {
                             for (int i = 0; i < 100; i++) {
-                                decoder.read(chunk, 0, chunk.length);
+                                decoder.decode(chunk, 0, chunk.length);
                             }
                         })
                 .isInstanceOf(UwsgiException.class);
--- a/tools/src/main/java/ochretiller/tools/Charts.java
+++ b/tools/src/main/java/ochretiller/tools/Charts.java
@@ -12,7 +12,7 @@
     private Charts() {}
 
     /** Saves an SVG with one line for each series, which is a label and its {x, y} points. */
-    static void lines(
+    static void saveLineChart(
             String fileName,
             String title,
             String xTitle,
@@ -40,7 +40,7 @@
                                 points.stream().mapToDouble(point -> point[1]).toArray()));
         VectorGraphicsEncoder.saveVectorGraphic(
                 chart,
-                ToolsCommand.FIGURES.resolve(fileName).toString(),
+                ToolsCommand.FIGURES_DIRECTORY.resolve(fileName).toString(),
                 VectorGraphicsEncoder.VectorGraphicsFormat.SVG);
     }
 }
--- a/tools/src/main/java/ochretiller/tools/CopiesBench.java
+++ b/tools/src/main/java/ochretiller/tools/CopiesBench.java
@@ -215,7 +215,7 @@
                 a.compareAllRanges();
                 exchange(Map.of("a", a, "b", b, "c", c), a, count);
                 double seconds = (System.nanoTime() - start) / 1e9;
-                table.row(
+                table.addRow(
                         count,
                         String.format(Locale.ROOT, "%.4f", missingShare),
                         a.statistics().receivedEntries(),
@@ -230,8 +230,8 @@
                 }
             }
         }
-        table.keep();
-        Charts.lines(
+        table.save();
+        Charts.saveLineChart(
                 "copies-catch-up.svg",
                 "Bytes of a catch-up beside the bytes that differ",
                 "entries that are lacking, %",
--- a/tools/src/main/java/ochretiller/tools/DecoderBench.java
+++ b/tools/src/main/java/ochretiller/tools/DecoderBench.java
@@ -37,7 +37,7 @@
     private byte[] encodedRequest;
 
     @Setup
-    public void packet() {
+    public void encodeRequest() {
         Map<String, String> vars = new LinkedHashMap<>();
         vars.put("REQUEST_METHOD", "POST");
         vars.put("REQUEST_URI", "/orders");
@@ -68,7 +68,7 @@
                 new UwsgiRequestDecoder(
                         2_048); // one per request: front ends open a connection for each
         for (int at = 0; at < encodedRequest.length; at += piece) {
-            decoder.read(
+            decoder.decode(
                     encodedRequest,
                     at,
                     Math.min(encodedRequest.length, at + piece),
@@ -114,7 +114,7 @@
                         "bytes allocated");
         for (RunResult result : results) {
             String name = result.getParams().getBenchmark();
-            table.row(
+            table.addRow(
                     name.substring(name.lastIndexOf('.') + 1),
                     result.getParams().getParam("piece"),
                     result.getPrimaryResult().getScore(),
@@ -125,6 +125,6 @@
                             .findFirst()
                             .orElse(Double.NaN));
         }
-        table.keep();
+        table.save();
     }
 }
--- a/tools/src/main/java/ochretiller/tools/FakeProcessor.java
+++ b/tools/src/main/java/ochretiller/tools/FakeProcessor.java
@@ -15,15 +15,16 @@
  */
 final class FakeProcessor implements AutoCloseable {
     /** The runs of one token: how many there were, and when the first one began. */
-    static final class Note {
-        volatile long firstAt;
-        final AtomicInteger runs = new AtomicInteger();
+    static final class TokenRuns {
+        volatile long firstStartNanos;
+        final AtomicInteger count = new AtomicInteger();
     }
 
     /** Runs of each token; the body of an order is its token. */
-    final Map<String, Note> tokens = new ConcurrentHashMap<>();
-    final LongAdder runs = new LongAdder();
-    final AtomicInteger most = new AtomicInteger();
+    final Map<String, TokenRuns> tokens = new ConcurrentHashMap<>();
+
+    final LongAdder totalRuns = new LongAdder();
+    final AtomicInteger maxConcurrentRuns = new AtomicInteger();
     private final AtomicInteger activeRuns = new AtomicInteger();
     private final ExecutorService executor;
     private final FakeServices services;
@@ -46,21 +47,21 @@
                             thread.setDaemon(true);
                             return thread;
                         });
-        services.runs = this::startRun;
+        services.runHandler = this::startRun;
     }
 
     private void startRun(String rid, String operation, String body) {
-        runs.increment();
-        most.accumulateAndGet(activeRuns.incrementAndGet(), Math::max);
+        totalRuns.increment();
+        maxConcurrentRuns.accumulateAndGet(activeRuns.incrementAndGet(), Math::max);
         if (operation.equals("order")) {
-            Note tokenRuns = tokens.computeIfAbsent(body, token -> new Note());
-            if (tokenRuns.runs.getAndIncrement() == 0) {
-                tokenRuns.firstAt = System.nanoTime();
+            TokenRuns tokenRuns = tokens.computeIfAbsent(body, token -> new TokenRuns());
+            if (tokenRuns.count.getAndIncrement() == 0) {
+                tokenRuns.firstStartNanos = System.nanoTime();
             }
         }
         executor.execute(
                 () -> {
-                    PreciseTimer.until(System.nanoTime() + runNanos);
+                    PreciseTimer.waitUntil(System.nanoTime() + runNanos);
                     activeRuns.decrementAndGet();
                     try {
                         services.complete(rid, "result of " + rid);
--- a/tools/src/main/java/ochretiller/tools/FloodBench.java
+++ b/tools/src/main/java/ochretiller/tools/FloodBench.java
@@ -67,22 +67,22 @@
                     }
                 }
                 double elapsed = (System.nanoTime() - start) / 1e9;
-                table.row(
+                table.addRow(
                         elapsed,
                         server.residentKb() / 1024.0,
                         fileCount,
-                        server.descriptors(),
+                        server.openDescriptors(),
                         bytes / 1024,
-                        load.succeeded.sum(),
-                        load.throttled.sum(),
-                        load.errored.sum());
+                        load.succeededRequests.sum(),
+                        load.throttledRequests.sum(),
+                        load.erroredRequests.sum());
                 memory.add(new double[] {elapsed, server.residentKb() / 1024.0});
                 storeSize.add(new double[] {elapsed, bytes / 1024.0 / 10});
             }
             load.close();
         }
-        table.keep();
-        Charts.lines(
+        table.save();
+        Charts.saveLineChart(
                 "remember-flood",
                 "New keys at ten times what ages out (own bench)",
                 "seconds",
--- a/tools/src/main/java/ochretiller/tools/JsonRpcClient.java
+++ b/tools/src/main/java/ochretiller/tools/JsonRpcClient.java
@@ -35,12 +35,12 @@
     }
 
     /** Returns the number of the request that a line answers, or -1 if the line has none. */
-    static long id(String line) {
+    static long parseRequestNumber(String line) {
         int start = line.indexOf("\"id\":") + 5;
         return start < 5 ? -1 : Long.parseLong(line.substring(start, line.indexOf(',', start)));
     }
 
-    static MeasuredRequest.Outcome outcome(String line) {
+    static MeasuredRequest.Outcome parseOutcome(String line) {
         return line.contains("\"result\"")
                 ? MeasuredRequest.Outcome.SUCCEEDED
                 : line.contains("-32014")
@@ -60,9 +60,9 @@
 
         private void read() {
             try {
-                for (String line = socket.line(); line != null; line = socket.line()) {
-                    MeasuredRequest request = openRequests.remove(id(line));
-                    if (request == null || !request.ends(outcome(line))) {
+                for (String line = socket.readLine(); line != null; line = socket.readLine()) {
+                    MeasuredRequest request = openRequests.remove(parseRequestNumber(line));
+                    if (request == null || !request.end(parseOutcome(line))) {
                         unexpectedAnswerCount.increment();
                     }
                 }
@@ -81,7 +81,7 @@
                     try {
                         send(request);
                     } catch (IOException e) {
-                        request.ends(MeasuredRequest.Outcome.NONE);
+                        request.end(MeasuredRequest.Outcome.UNANSWERED);
                     }
                 }
             }
@@ -109,7 +109,7 @@
             connections.add(target = new Connection());
         }
         target.openRequests.put(request.number, request);
-        request.sentAt = System.nanoTime();
+        request.sentNanos = System.nanoTime();
         String message =
                 GatewayMessages.message(
                         request.number,
@@ -126,7 +126,7 @@
     }
 
     /** Returns the number of requests that are open now, on all connections. */
-    synchronized int openNow() {
+    synchronized int openRequestCount() {
         int count = 0;
         for (Connection connection : connections) {
             count += connection.openRequests.size();
@@ -135,12 +135,12 @@
     }
 
     /** Returns how many requests were sent again because their connection was closed. */
-    long again() {
+    long resentRequests() {
         return resendCount.sum();
     }
 
     @Override
-    public long surplus() {
+    public long unexpectedAnswers() {
         return unexpectedAnswerCount.sum();
     }
 
--- a/tools/src/main/java/ochretiller/tools/LatencyBench.java
+++ b/tools/src/main/java/ochretiller/tools/LatencyBench.java
@@ -23,7 +23,7 @@
             LoadGenerator load = new LoadGenerator(server.port, 4, 1);
             load.send(2_000, 3, 0.5);
             load.close();
-            return Math.min(1_500, load.succeeded.sum() / 3.0);
+            return Math.min(1_500, load.succeededRequests.sum() / 3.0);
         }
     }
 
@@ -59,16 +59,16 @@
                         LoadGenerator load = new LoadGenerator(server.port, 4, round);
                         load.send(fullLoad * share, seconds, 0.5);
                         load.close();
-                        keyed.add(load.keyed);
-                        reads.add(load.reads);
-                        counts[0] += load.succeeded.sum();
-                        counts[1] += load.throttled.sum();
-                        counts[2] += load.errored.sum();
+                        keyed.add(load.keyedLatencyMicros);
+                        reads.add(load.readLatencyMicros);
+                        counts[0] += load.succeededRequests.sum();
+                        counts[1] += load.throttledRequests.sum();
+                        counts[2] += load.erroredRequests.sum();
                     }
                 }
                 for (boolean isKeyed : new boolean[] {true, false}) {
                     Histogram latencies = isKeyed ? keyed : reads;
-                    table.row(
+                    table.addRow(
                             share,
                             remembered ? "on" : "off",
                             isKeyed ? "keyed" : "idempotent",
@@ -81,6 +81,6 @@
                 }
             }
         }
-        table.keep();
+        table.save();
     }
 }
--- a/tools/src/main/java/ochretiller/tools/LiveBench.java
+++ b/tools/src/main/java/ochretiller/tools/LiveBench.java
@@ -46,7 +46,7 @@
 
     LiveBench(Path file, int serverCount, long seed) {
         Scenario original = ScenarioReader.read(file);
-        this.scenario = original.scaled((double) serverCount / original.fleet().boxes());
+        this.scenario = original.scaledBy((double) serverCount / original.fleet().boxes());
         this.seed = seed;
         for (Scenario.Incident each : scenario.incidents()) {
             if (!SUPPORTED.contains(each.what())) {
@@ -54,8 +54,8 @@
                         "incident " + each.what() + " is not supported, only " + SUPPORTED);
             }
         }
-        arrivalRandom = new RandomStreams(seed).of("arrivals");
-        choiceRandom = new RandomStreams(seed).of("gateways");
+        arrivalRandom = new RandomStreams(seed).stream("arrivals");
+        choiceRandom = new RandomStreams(seed).stream("gateways");
         timers.setRemoveOnCancelPolicy(true);
     }
 
@@ -66,7 +66,7 @@
         try {
             for (int i = 0; i < scenario.incidents().size(); i++) {
                 Scenario.Incident each = scenario.incidents().get(i);
-                SplittableRandom random = new RandomStreams(seed).of("incident " + i);
+                SplittableRandom random = new RandomStreams(seed).stream("incident " + i);
                 schedule(each.atS(), () -> startIncident(each, random));
             }
             send();
@@ -88,10 +88,10 @@
         }
         long ranTwice =
                 allServers.stream()
-                        .flatMap(server -> server.runs.values().stream())
+                        .flatMap(server -> server.runsByToken.values().stream())
                         .filter(count -> count.get() > 1)
                         .count();
-        SimulationResult simulated = new Simulation(scenario, seed).play();
+        SimulationResult simulated = new Simulation(scenario, seed).run();
         ResultTable table =
                 new ResultTable(
                         "live-" + scenario.name(),
@@ -105,7 +105,7 @@
                         "mean ms (simulated)",
                         "p95 ms (sockets)",
                         "p95 ms (simulated)");
-        table.row(
+        table.addRow(
                 scenario.fleet().boxes(),
                 startedCount,
                 startedCount - endedCount.sum(),
@@ -113,10 +113,10 @@
                 simulated.valueShare(),
                 ranTwice,
                 latencyMicros.getMean() / 1e3,
-                simulated.took().getMean() / 1e3,
+                simulated.latencies().getMean() / 1e3,
                 latencyMicros.getValueAtPercentile(95) / 1e3,
-                simulated.tookMs(95));
-        table.keep();
+                simulated.latencyMs(95));
+        table.save();
     }
 
     private interface Task {
@@ -150,8 +150,8 @@
                     RandomStreams.exponential(arrivalRandom, 1 / scenario.traffic().perSecond())
                             / rateFactor;
             long due = start + (long) (at * 1e9);
-            PreciseTimer.until(due);
-            Scenario.Operation operation = scenario.at(arrivalRandom.nextDouble());
+            PreciseTimer.waitUntil(due);
+            Scenario.Operation operation = scenario.operationAt(arrivalRandom.nextDouble());
             startedCount++;
             offeredValue.add(operation.value());
             String token =
@@ -181,22 +181,22 @@
         CompletableFuture<MeasuredRequest.Outcome> end = request.outcome;
         double secondsLeft = operation.timeoutMs() / 1e3 - (System.nanoTime() - due) / 1e9;
         if (server == null) {
-            request.ends(MeasuredRequest.Outcome.NONE);
+            request.end(MeasuredRequest.Outcome.UNANSWERED);
         } else {
             try {
-                server.side.send(request);
+                server.client.send(request);
             } catch (java.io.IOException e) {
-                request.ends(MeasuredRequest.Outcome.NONE);
+                request.end(MeasuredRequest.Outcome.UNANSWERED);
             }
         }
         // The client times out: an answer after this counts as unexpected.
-        schedule(Math.max(0, secondsLeft), () -> request.ends(MeasuredRequest.Outcome.VANISHED));
+        schedule(Math.max(0, secondsLeft), () -> request.end(MeasuredRequest.Outcome.ABANDONED));
         end.thenAccept(
                 outcome -> {
                     double spentSeconds = (System.nanoTime() - due) / 1e9;
                     boolean mayRetry =
                             outcome != MeasuredRequest.Outcome.SUCCEEDED
-                                    && outcome != MeasuredRequest.Outcome.VANISHED
+                                    && outcome != MeasuredRequest.Outcome.ABANDONED
                                     && (outcome != MeasuredRequest.Outcome.ERRORED
                                             || token == null);
                     double pauseSeconds = scenario.gateways().pauseMs() / 1e3;
@@ -235,7 +235,7 @@
         LiveServer first = candidates.get(choiceRandom.nextInt(candidates.size()));
         LiveServer second = candidates.get(choiceRandom.nextInt(candidates.size()));
         return scenario.gateways().choice().equals("random")
-                        || first.side.openNow() <= second.side.openNow()
+                        || first.client.openRequestCount() <= second.client.openRequestCount()
                 ? first
                 : second;
     }
--- a/tools/src/main/java/ochretiller/tools/LiveServer.java
+++ b/tools/src/main/java/ochretiller/tools/LiveServer.java
@@ -19,23 +19,24 @@
     /** Time that a run takes if it fails. */
     private static final double FAILED_RUN_S = 0.001;
 
-    final MeasuredServer served;
-    final JsonRpcClient side;
-    final Map<String, AtomicInteger> runs = new ConcurrentHashMap<>();
+    final MeasuredServer server;
+    final JsonRpcClient client;
+    final Map<String, AtomicInteger> runsByToken = new ConcurrentHashMap<>();
     private final ScheduledThreadPoolExecutor executor;
     private final SplittableRandom random;
     private volatile double slowdown = 1;
     private volatile double failureShare;
 
     LiveServer(Scenario scenario, int index, int incarnation, long seed) throws Exception {
-        random = new RandomStreams(seed).of("live box " + index + "." + incarnation);
+        random = new RandomStreams(seed).stream("live box " + index + "." + incarnation);
         executor = new ScheduledThreadPoolExecutor(scenario.fleet().cores());
         Map<String, Scenario.Operation> operations =
                 scenario.operations().stream()
                         .collect(Collectors.toMap(Scenario.Operation::name, each -> each));
-        served = new MeasuredServer(null, json -> adaptConfig(json, scenario));
-        served.outside.runs = (rid, name, body) -> startRun(operations.get(name), rid, name, body);
-        side = new JsonRpcClient(served.port, 30, String.format("%04x%04x", index, incarnation));
+        server = new MeasuredServer(null, json -> adaptConfig(json, scenario));
+        server.fakeServices.runHandler =
+                (rid, name, body) -> startRun(operations.get(name), rid, name, body);
+        client = new JsonRpcClient(server.port, 30, String.format("%04x%04x", index, incarnation));
     }
 
     /** Returns the test configuration with the operations and the cores of the scenario. */
@@ -74,7 +75,7 @@
 
     private void startRun(Scenario.Operation operation, String rid, String name, String body) {
         if (operation.effect().equals("tokened")) {
-            runs.computeIfAbsent(body, token -> new AtomicInteger()).incrementAndGet();
+            runsByToken.computeIfAbsent(body, token -> new AtomicInteger()).incrementAndGet();
         }
         double seconds;
         boolean fails;
@@ -83,7 +84,7 @@
             seconds =
                     fails
                             ? FAILED_RUN_S
-                            : RandomStreams.around(
+                            : RandomStreams.logNormal(
                                     random, operation.workMs() / 1e3, operation.spread());
         }
         executor.execute(
@@ -91,9 +92,9 @@
                     try {
                         TimeUnit.NANOSECONDS.sleep((long) (seconds * slowdown * 1e9));
                         if (fails) {
-                            served.outside.notice("complete", rid + " error 1 0\r\n\r\n");
+                            server.fakeServices.sendNotice("complete", rid + " error 1 0\r\n\r\n");
                         } else {
-                            served.outside.complete(rid, "result of " + name);
+                            server.fakeServices.complete(rid, "result of " + name);
                         }
                     } catch (IOException e) {
                         // the server was killed
@@ -114,13 +115,13 @@
     }
 
     void signal(String name) throws IOException, InterruptedException {
-        new ProcessBuilder("kill", "-" + name, "" + served.process.pid()).start().waitFor();
+        new ProcessBuilder("kill", "-" + name, "" + server.process.pid()).start().waitFor();
     }
 
     @Override
     public void close() throws IOException {
-        served.close();
-        side.close();
+        server.close();
+        client.close();
         executor.shutdownNow();
     }
 }
--- a/tools/src/main/java/ochretiller/tools/LoadGenerator.java
+++ b/tools/src/main/java/ochretiller/tools/LoadGenerator.java
@@ -24,11 +24,11 @@
     /** Less than the number of open requests that a server allows on one connection. */
     private static final int MAX_OPEN_PER_CONNECTION = 30;
 
-    final Histogram keyed = new ConcurrentHistogram(3);
-    final Histogram reads = new ConcurrentHistogram(3);
-    final LongAdder succeeded = new LongAdder();
-    final LongAdder throttled = new LongAdder();
-    final LongAdder errored = new LongAdder();
+    final Histogram keyedLatencyMicros = new ConcurrentHistogram(3);
+    final Histogram readLatencyMicros = new ConcurrentHistogram(3);
+    final LongAdder succeededRequests = new LongAdder();
+    final LongAdder throttledRequests = new LongAdder();
+    final LongAdder erroredRequests = new LongAdder();
     private final List<Connection> connections = new ArrayList<>();
     private final SplittableRandom random;
     private final String runId;
@@ -51,20 +51,21 @@
 
         private void read() {
             try {
-                for (String line = socket.line(); line != null; line = socket.line()) {
-                    long[] request = openRequests.remove(JsonRpcClient.id(line));
+                for (String line = socket.readLine(); line != null; line = socket.readLine()) {
+                    long[] request = openRequests.remove(JsonRpcClient.parseRequestNumber(line));
                     if (request == null) {
                         continue;
                     }
                     permits.release();
                     long latencyMicros = Math.max(1, (System.nanoTime() - request[0]) / 1_000);
-                    switch (JsonRpcClient.outcome(line)) {
+                    switch (JsonRpcClient.parseOutcome(line)) {
                         case SUCCEEDED -> {
-                            succeeded.increment();
-                            (request[1] == 1 ? keyed : reads).recordValue(latencyMicros);
+                            succeededRequests.increment();
+                            (request[1] == 1 ? keyedLatencyMicros : readLatencyMicros)
+                                    .recordValue(latencyMicros);
                         }
-                        case THROTTLED -> throttled.increment();
-                        default -> errored.increment();
+                        case THROTTLED -> throttledRequests.increment();
+                        default -> erroredRequests.increment();
                     }
                 }
             } catch (IOException e) {
@@ -95,7 +96,7 @@
                 break;
             }
             long due = start + (long) (at * 1e9);
-            PreciseTimer.until(due);
+            PreciseTimer.waitUntil(due);
             boolean isKeyed = random.nextDouble() < keyedShare;
             Connection connection = connections.get((int) (++lastNumber % connections.size()));
             connection.permits.acquire();
@@ -115,7 +116,7 @@
         }
     }
 
-    long sent() {
+    long sentRequests() {
         return lastNumber;
     }
 
--- a/tools/src/main/java/ochretiller/tools/MeasuredRequest.java
+++ b/tools/src/main/java/ochretiller/tools/MeasuredRequest.java
@@ -9,8 +9,8 @@
         SUCCEEDED,
         THROTTLED,
         ERRORED,
-        NONE,
-        VANISHED
+        UNANSWERED,
+        ABANDONED
     }
 
     final long number;
@@ -21,17 +21,17 @@
      * When the request was to be sent, on the clock of {@link System#nanoTime}. Latency is measured
      * from here, so that it includes the time for which a stalled server delays the sender.
      */
-    final long due;
+    final long dueNanos;
 
     /** The idempotency token of a keyed request; null for other requests. */
     final String token;
 
     /** Whether the client disconnects without waiting for the answer. */
-    final boolean vanishes;
+    final boolean disconnectsEarly;
 
     final CompletableFuture<Outcome> outcome = new CompletableFuture<>();
-    volatile long sentAt;
-    volatile long answeredAt;
+    volatile long sentNanos;
+    volatile long endNanos;
 
     MeasuredRequest(long number, long dueNanos, String token, boolean disconnectsEarly) {
         this(
@@ -53,14 +53,14 @@
         this.operation = operation;
         this.body = body;
         this.number = number;
-        this.due = dueNanos;
+        this.dueNanos = dueNanos;
         this.token = token;
-        this.vanishes = disconnectsEarly;
+        this.disconnectsEarly = disconnectsEarly;
     }
 
     /** Ends the request; returns false if it had an outcome before, which then stays. */
-    boolean ends(Outcome finalOutcome) {
-        answeredAt = System.nanoTime();
+    boolean end(Outcome finalOutcome) {
+        endNanos = System.nanoTime();
         return outcome.complete(finalOutcome);
     }
 }
--- a/tools/src/main/java/ochretiller/tools/MeasuredServer.java
+++ b/tools/src/main/java/ochretiller/tools/MeasuredServer.java
@@ -18,10 +18,10 @@
 final class MeasuredServer implements AutoCloseable {
     final int port;
     final Process process;
-    final FakeServices outside;
+    final FakeServices fakeServices;
 
     /** How many connections the server has closed, by close code, from its log. */
-    final Map<String, Integer> ends = new ConcurrentHashMap<>();
+    final Map<String, Integer> closeCodeCounts = new ConcurrentHashMap<>();
 
     /**
      * Starts a server and waits until it is connected to the fake processor.
@@ -31,7 +31,7 @@
     MeasuredServer(Path operatorFile, java.util.function.UnaryOperator<String> configEditor)
             throws Exception {
         CountDownLatch connected = new CountDownLatch(1);
-        outside =
+        fakeServices =
                 new FakeServices(
                         "127.0.0.1",
                         new int[3],
@@ -41,7 +41,8 @@
                             }
                         },
                         report -> {});
-        outside.runs = (rid, operation, body) -> outside.complete(rid, "result of " + rid);
+        fakeServices.runHandler =
+                (rid, operation, body) -> fakeServices.complete(rid, "result of " + rid);
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
         }
@@ -51,9 +52,9 @@
                 configEditor.apply(
                         GatewayMessages.config(
                                 port,
-                                outside.processorPort(),
-                                outside.recordsPort(),
-                                outside.rosterPort())));
+                                fakeServices.processorPort(),
+                                fakeServices.recordsPort(),
+                                fakeServices.rosterPort())));
         ProcessBuilder builder =
                 new ProcessBuilder("sh", "deploy/serve.sh").redirectErrorStream(true);
         builder.environment().put("EDGE_CONFIG", configFile.toString());
@@ -72,7 +73,8 @@
                                         line = lines.readLine()) {
                                     int at = line.indexOf(" ended: ");
                                     if (at > 0) {
-                                        ends.merge(line.substring(at + 8), 1, Integer::sum);
+                                        closeCodeCounts.merge(
+                                                line.substring(at + 8), 1, Integer::sum);
                                     }
                                 }
                             } catch (IOException e) {
@@ -106,7 +108,7 @@
         return (Long.parseLong(fields[11]) + Long.parseLong(fields[12])) / 100.0;
     }
 
-    long descriptors() throws IOException {
+    long openDescriptors() throws IOException {
         try (var files = Files.list(Path.of("/proc/" + process.pid() + "/fd"))) {
             return files.count();
         }
@@ -115,6 +117,6 @@
     @Override
     public void close() throws IOException {
         process.destroyForcibly();
-        outside.close();
+        fakeServices.close();
     }
 }
--- a/tools/src/main/java/ochretiller/tools/MixBench.java
+++ b/tools/src/main/java/ochretiller/tools/MixBench.java
@@ -68,7 +68,7 @@
                                                     "callsByClass\":[true,true]",
                                                     "callsByClass\":[false,false]")
                                             .replace("\"sockets\":1024", "\"sockets\":" + SOCKETS));
-            processor = new FakeProcessor(server.outside, CORES, RUN_MS);
+            processor = new FakeProcessor(server.fakeServices, CORES, RUN_MS);
             jsonRpc = new JsonRpcClient(server.port, 60, String.format("%08x", seed));
             uwsgi = new UwsgiClient(uwsgiPort, 1_000, "10.1.2.3");
         }
@@ -117,14 +117,14 @@
                 CompletableFuture<Void> uwsgiSent = sendAsync(uwsgi, load * FULL_RPS / 2, seconds);
                 rpcSent.get();
                 uwsgiSent.get();
-                Map<MeasuredRequest.Outcome, Long> counts = rpc.outcomes();
-                uwsgi.outcomes()
+                Map<MeasuredRequest.Outcome, Long> counts = rpc.awaitOutcomes();
+                uwsgi.awaitOutcomes()
                         .forEach((outcome, count) -> counts.merge(outcome, count, Long::sum));
-                List<MeasuredRequest> requests = new ArrayList<>(rpc.asks);
-                requests.addAll(uwsgi.asks);
+                List<MeasuredRequest> requests = new ArrayList<>(rpc.requests);
+                requests.addAll(uwsgi.requests);
                 long ranTwice =
                         setup.processor.tokens.values().stream()
-                                .filter(tokenRuns -> tokenRuns.runs.get() > 1)
+                                .filter(tokenRuns -> tokenRuns.count.get() > 1)
                                 .count();
                 // A retry is sent after the previous attempt has ended, so a run that began before
                 // the retry was sent belongs to the previous attempt.
@@ -140,39 +140,39 @@
                                         request ->
                                                 setup.processor.tokens.containsKey(request.token)
                                                         && setup.processor.tokens.get(request.token)
-                                                                        .firstAt
-                                                                < request.sentAt)
+                                                                        .firstStartNanos
+                                                                < request.sentNanos)
                                 .count();
-                table.row(
+                table.addRow(
                         load,
                         requests.size(),
                         counts.getOrDefault(MeasuredRequest.Outcome.SUCCEEDED, 0L),
                         counts.getOrDefault(MeasuredRequest.Outcome.THROTTLED, 0L),
                         counts.getOrDefault(MeasuredRequest.Outcome.ERRORED, 0L),
-                        counts.getOrDefault(MeasuredRequest.Outcome.NONE, 0L),
-                        setup.jsonRpc.surplus() + setup.uwsgi.surplus(),
+                        counts.getOrDefault(MeasuredRequest.Outcome.UNANSWERED, 0L),
+                        setup.jsonRpc.unexpectedAnswers() + setup.uwsgi.unexpectedAnswers(),
                         ranTwice,
                         throttledAfterRun,
-                        Math.max(0, setup.processor.most.get() - RUN_LIMIT));
+                        Math.max(0, setup.processor.maxConcurrentRuns.get() - RUN_LIMIT));
                 System.out.println(
                         "  connections ended: "
-                                + setup.server.ends
+                                + setup.server.closeCodeCounts
                                 + ", sent again over another: "
-                                + setup.jsonRpc.again());
+                                + setup.jsonRpc.resentRequests());
             }
         }
-        table.keep();
+        table.save();
     }
 
     private static double earnedShare(MixedTraffic traffic) throws Exception {
-        traffic.outcomes();
+        traffic.awaitOutcomes();
         double earned = 0;
         double offered = 0;
-        for (MeasuredRequest request : traffic.asks) {
+        for (MeasuredRequest request : traffic.requests) {
             double value = request.token == null ? READ_VALUE : ORDER_VALUE;
             offered += value;
             if (request.outcome.getNow(null) == MeasuredRequest.Outcome.SUCCEEDED
-                    && request.answeredAt - request.due < OBJECTIVE_NS) {
+                    && request.endNanos - request.dueNanos < OBJECTIVE_NS) {
                 earned += value;
             }
         }
@@ -181,14 +181,15 @@
 
     /** Returns the share of all requests that succeeded, but later than the objective. */
     private static double lateShare(MixedTraffic traffic) {
-        return traffic.asks.stream()
+        return traffic.requests.stream()
                         .filter(
                                 request ->
                                         request.outcome.getNow(null)
                                                         == MeasuredRequest.Outcome.SUCCEEDED
-                                                && request.answeredAt - request.due >= OBJECTIVE_NS)
+                                                && request.endNanos - request.dueNanos
+                                                        >= OBJECTIVE_NS)
                         .count()
-                / (double) traffic.asks.size();
+                / (double) traffic.requests.size();
     }
 
     /**
@@ -245,7 +246,7 @@
                         late[1] = lateShare(burst);
                     }
                 }
-                table.row(
+                table.addRow(
                         mix == READS_ONLY ? "one operation" : "reads and orders",
                         rpcBursts ? "JSON-RPC" : "uwsgi",
                         seed,
@@ -257,7 +258,7 @@
                         late[1]);
             }
         }
-        table.keep();
+        table.save();
     }
 
     void run(boolean onlyFairness) throws Exception {
@@ -268,21 +269,21 @@
     }
 
     /** Measures the server's CPU per invocation of each protocol, in turn in one process. */
-    void cpu(int rounds) throws Exception {
+    void measureCpu(int rounds) throws Exception {
         ResultTable table = new ResultTable("mix-cpu", "round", "JSON-RPC us", "uwsgi us", "ratio");
         try (TestSetup setup = new TestSetup(7)) {
-            setup.server.outside.runs =
+            setup.server.fakeServices.runHandler =
                     (rid, operation, body) ->
-                            setup.server.outside.complete(rid, "result of " + rid);
+                            setup.server.fakeServices.complete(rid, "result of " + rid);
             for (int round = 0; round <= rounds; round++) {
                 double rpcMicros = cpuMicros(setup, setup.jsonRpc, setup.uwsgi, round);
                 double uwsgiMicros = cpuMicros(setup, setup.uwsgi, setup.jsonRpc, round);
                 if (round > 0) { // round 0 is the warm-up
-                    table.row(round, rpcMicros, uwsgiMicros, uwsgiMicros / rpcMicros);
+                    table.addRow(round, rpcMicros, uwsgiMicros, uwsgiMicros / rpcMicros);
                 }
             }
         }
-        table.keep();
+        table.save();
     }
 
     private double cpuMicros(TestSetup setup, ProtocolClient client, ProtocolClient other, int seed)
@@ -290,7 +291,8 @@
         MixedTraffic traffic = new MixedTraffic(client, other, READS_AND_ORDERS, seed);
         double before = setup.server.cpuSeconds();
         traffic.send(400, seconds);
-        long succeeded = traffic.outcomes().getOrDefault(MeasuredRequest.Outcome.SUCCEEDED, 0L);
+        long succeeded =
+                traffic.awaitOutcomes().getOrDefault(MeasuredRequest.Outcome.SUCCEEDED, 0L);
         return (setup.server.cpuSeconds() - before) * 1e6 / Math.max(1, succeeded);
     }
 }
--- a/tools/src/main/java/ochretiller/tools/MixedTraffic.java
+++ b/tools/src/main/java/ochretiller/tools/MixedTraffic.java
@@ -19,7 +19,7 @@
  */
 final class MixedTraffic {
     /** Shares, 0 to 1: of keyed requests, and of retries and early disconnects among those. */
-    record Mix(double keyed, double repeated, double vanishing) {}
+    record Mix(double keyedShare, double retriedShare, double disconnectShare) {}
 
     private static final AtomicLong LAST_NUMBER = new AtomicLong();
 
@@ -29,8 +29,8 @@
      */
     private static final long ANSWER_WAIT_S = 8;
 
-    final Histogram took = new ConcurrentHistogram(3);
-    final Queue<MeasuredRequest> asks = new ConcurrentLinkedQueue<>();
+    final Histogram latencyMicros = new ConcurrentHistogram(3);
+    final Queue<MeasuredRequest> requests = new ConcurrentLinkedQueue<>();
     private final ProtocolClient client;
     private final ProtocolClient retryClient;
     private final Mix mix;
@@ -48,24 +48,25 @@
         long start = System.nanoTime();
         for (double at = nextGapSeconds(perSecond); at < seconds; at += nextGapSeconds(perSecond)) {
             long due = start + (long) (at * 1e9);
-            PreciseTimer.until(due);
-            boolean isKeyed = random.nextDouble() < mix.keyed;
+            PreciseTimer.waitUntil(due);
+            boolean isKeyed = random.nextDouble() < mix.keyedShare;
             String token =
                     isKeyed
                             ? String.format("%016x%016x", random.nextLong(), random.nextLong())
                             : null;
-            boolean isRetried = isKeyed && random.nextDouble() < mix.repeated;
+            boolean isRetried = isKeyed && random.nextDouble() < mix.retriedShare;
             MeasuredRequest request =
                     new MeasuredRequest(
                             LAST_NUMBER.incrementAndGet(),
                             due,
                             token,
-                            isKeyed && random.nextDouble() < mix.vanishing);
-            asks.add(request);
+                            isKeyed && random.nextDouble() < mix.disconnectShare);
+            requests.add(request);
             request.outcome.thenAccept(
                     outcome -> {
                         if (outcome == MeasuredRequest.Outcome.SUCCEEDED) {
-                            took.recordValue(Math.max(1, (request.answeredAt - due) / 1_000));
+                            latencyMicros.recordValue(
+                                    Math.max(1, (request.endNanos - due) / 1_000));
                         }
                         if (isRetried) {
                             retry(request);
@@ -84,26 +85,26 @@
         MeasuredRequest second =
                 new MeasuredRequest(
                         LAST_NUMBER.incrementAndGet(), System.nanoTime(), first.token, false);
-        asks.add(second);
+        requests.add(second);
         try {
             retryClient.send(second);
         } catch (IOException e) {
-            second.ends(MeasuredRequest.Outcome.NONE);
+            second.end(MeasuredRequest.Outcome.UNANSWERED);
         }
     }
 
     /** Waits for the open requests and counts all by outcome; unanswered ones are lost. */
-    Map<MeasuredRequest.Outcome, Long> outcomes() throws Exception {
+    Map<MeasuredRequest.Outcome, Long> awaitOutcomes() throws Exception {
         Map<MeasuredRequest.Outcome, Long> counts = new EnumMap<>(MeasuredRequest.Outcome.class);
         long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(ANSWER_WAIT_S);
-        for (MeasuredRequest request : asks) {
+        for (MeasuredRequest request : requests) {
             MeasuredRequest.Outcome outcome;
             try {
                 outcome =
                         request.outcome.get(
                                 Math.max(1, deadline - System.nanoTime()), TimeUnit.NANOSECONDS);
             } catch (TimeoutException e) {
-                outcome = MeasuredRequest.Outcome.NONE;
+                outcome = MeasuredRequest.Outcome.UNANSWERED;
             }
             counts.merge(outcome, 1L, Long::sum);
         }
--- a/tools/src/main/java/ochretiller/tools/PoolsBench.java
+++ b/tools/src/main/java/ochretiller/tools/PoolsBench.java
@@ -81,7 +81,7 @@
         for (int i = 0; i < workers; i++) {
             ids.add(new WorkerId("" + i));
         }
-        selector.become(ids, Duration.ZERO);
+        selector.reconfigure(ids, Duration.ZERO);
         List<PriorityQueue<Double>> coreFreeTimes = new ArrayList<>();
         for (int i = 0; i < workers; i++) {
             PriorityQueue<Double> freeTimes = new PriorityQueue<>();
@@ -102,7 +102,7 @@
                 Completion next = completions.poll();
                 inFlight[next.worker]--;
                 if (chooser == Chooser.POOL) {
-                    selector.ended(
+                    selector.onRequestEnded(
                             ids.get(next.worker),
                             next.succeeded ? RequestOutcome.ANSWERED : RequestOutcome.FAILED,
                             duration(next.latency),
@@ -199,7 +199,7 @@
                             simulate(Chooser.LEAST, Fault.NONE, 0.6, WORKERS - 1, seed).p99Ms
                                     / SEEDS;
                 }
-                table.row(
+                table.addRow(
                         fault,
                         chooser,
                         p50Ms,
@@ -209,7 +209,7 @@
                         lastWorkerShare);
             }
         }
-        table.keep();
+        table.save();
         ResultTable retries =
                 new ResultTable(
                         "pools-retries", "refused share", "first tries", "second tries", "share");
@@ -236,20 +236,22 @@
                 Duration now = Duration.ofMillis(i);
                 WorkerId worker = selector.choose(now).orElse(null);
                 while (worker != null && random.nextDouble() < refusedShare) {
-                    selector.ended(worker, RequestOutcome.NEVER_BEGUN, Duration.ZERO, now);
+                    selector.onRequestEnded(
+                            worker, RequestOutcome.NEVER_STARTED, Duration.ZERO, now);
                     worker =
-                            selector.chooseAgain(worker, RequestOutcome.NEVER_BEGUN, now)
+                            selector.chooseForRetry(worker, RequestOutcome.NEVER_STARTED, now)
                                     .orElse(null);
                     if (worker != null) {
                         retryCount++;
                     }
                 }
                 if (worker != null) {
-                    selector.ended(worker, RequestOutcome.ANSWERED, duration(MEAN_WORK_S), now);
+                    selector.onRequestEnded(
+                            worker, RequestOutcome.ANSWERED, duration(MEAN_WORK_S), now);
                 }
             }
-            retries.row(refusedShare, REQUESTS, retryCount, retryCount / (double) REQUESTS);
+            retries.addRow(refusedShare, REQUESTS, retryCount, retryCount / (double) REQUESTS);
         }
-        retries.keep();
+        retries.save();
     }
 }
--- a/tools/src/main/java/ochretiller/tools/PreciseTimer.java
+++ b/tools/src/main/java/ochretiller/tools/PreciseTimer.java
@@ -7,7 +7,7 @@
     private PreciseTimer() {}
 
     /** Returns when {@link System#nanoTime} has reached the deadline. */
-    static void until(long deadlineNanos) {
+    static void waitUntil(long deadlineNanos) {
         for (long remaining = deadlineNanos - System.nanoTime();
                 remaining > 0;
                 remaining = deadlineNanos - System.nanoTime()) {
--- a/tools/src/main/java/ochretiller/tools/ProtocolClient.java
+++ b/tools/src/main/java/ochretiller/tools/ProtocolClient.java
@@ -8,7 +8,7 @@
     void send(MeasuredRequest request) throws IOException;
 
     /** Returns how many answers had no open request; each violates the rule of one answer. */
-    long surplus();
+    long unexpectedAnswers();
 
     @Override
     void close() throws IOException;
--- a/tools/src/main/java/ochretiller/tools/ResultTable.java
+++ b/tools/src/main/java/ochretiller/tools/ResultTable.java
@@ -13,12 +13,12 @@
     private final List<String> lines = new ArrayList<>();
 
     ResultTable(String name, String... columns) {
-        this.file = ToolsCommand.FIGURES.resolve(name + ".csv");
+        this.file = ToolsCommand.FIGURES_DIRECTORY.resolve(name + ".csv");
         lines.add(String.join(",", columns));
         System.out.println(String.join("  ", columns));
     }
 
-    void row(Object... values) {
+    void addRow(Object... values) {
         List<String> cells = new ArrayList<>();
         for (Object value : values) {
             cells.add(
@@ -30,7 +30,7 @@
         System.out.println(String.join("  ", cells));
     }
 
-    void keep() throws IOException {
+    void save() throws IOException {
         Files.createDirectories(file.getParent());
         Files.write(file, lines);
     }
--- a/tools/src/main/java/ochretiller/tools/StoreBench.java
+++ b/tools/src/main/java/ochretiller/tools/StoreBench.java
@@ -55,8 +55,8 @@
                         .maxBytes(16L << 30)
                         .maxIndexBytes(16L << 30)
                         .compactionBytesPerSecond(8 << 20)
-                        .compactionMinRemainingLife(Duration.ofDays(1))
-                        .maxRecordLife(Duration.ofDays(1))
+                        .compactionMinRemainingLifetime(Duration.ofDays(1))
+                        .maxRecordLifetime(Duration.ofDays(1))
                         .build();
         return Store.open(
                 new LocalDirectory(storeDirectory), limits, BootClock.ofKernel(), Runnable::run);
@@ -170,7 +170,7 @@
         return sorted[sorted.length / 2];
     }
 
-    void appends() throws Exception {
+    void measureAppends() throws Exception {
         long roundNanos = (quick ? 1 : 2) * 1_000_000_000L;
         int rounds = 3;
         appendFromThread(256, roundNanos); // warm-up, so that the code is compiled
@@ -204,7 +204,7 @@
                 speedups.add(fromCallbacks.get(round) / plainSingle.get(round));
                 shares.add(fromCallbacks.get(round) / plainGroups.get(round));
             }
-            table.row(
+            table.addRow(
                     inFlight,
                     median(fromCallbacks),
                     median(fromThread),
@@ -218,13 +218,13 @@
             singlePoints.add(new double[] {inFlight, median(plainSingle)});
             groupPoints.add(new double[] {inFlight, median(plainGroups)});
         }
-        table.keep();
+        table.save();
         Map<String, List<double[]>> series = new LinkedHashMap<>();
         series.put("store, from a busy loop", callbackPoints);
         series.put("store, from a woken thread", threadPoints);
         series.put("bare groups of as many", groupPoints);
         series.put("one force a record", singlePoints);
-        Charts.lines(
+        Charts.saveLineChart(
                 "store-appends",
                 "Durable appends (own bench)",
                 "in flight",
@@ -234,7 +234,7 @@
         deleteRecursively(directory);
     }
 
-    void recovery() throws Exception {
+    void measureRecovery() throws Exception {
         ResultTable table =
                 new ResultTable(
                         "store-recovery",
@@ -272,7 +272,7 @@
                 }
             }
             double[] withoutHints = measureOpen(entries);
-            table.row(
+            table.addRow(
                     entries,
                     withoutHints[0],
                     withHints[0],
@@ -282,11 +282,12 @@
             pointsWithoutHints.add(new double[] {entries, withoutHints[0]});
             pointsWithHints.add(new double[] {entries, withHints[0]});
         }
-        table.keep();
+        table.save();
         Map<String, List<double[]>> series = new LinkedHashMap<>();
         series.put("segments read whole", pointsWithoutHints);
         series.put("with hints", pointsWithHints);
-        Charts.lines("store-recovery", "Recovery (own bench)", "entries", "seconds", true, series);
+        Charts.saveLineChart(
+                "store-recovery", "Recovery (own bench)", "entries", "seconds", true, series);
         deleteRecursively(directory);
     }
 
--- a/tools/src/main/java/ochretiller/tools/ToolsCommand.java
+++ b/tools/src/main/java/ochretiller/tools/ToolsCommand.java
@@ -12,7 +12,7 @@
         mixinStandardHelpOptions = true,
         description = "Measure the server and its parts.")
 final class ToolsCommand {
-    static final Path FIGURES = Path.of("docs", "figures");
+    static final Path FIGURES_DIRECTORY = Path.of("docs", "figures");
 
     @Command(
             description =
@@ -28,8 +28,8 @@
             throws Exception {
         StoreBench bench =
                 new StoreBench(folder == null ? Path.of("target", "store-bench") : folder, quick);
-        bench.appends();
-        bench.recovery();
+        bench.measureAppends();
+        bench.measureRecovery();
         return 0;
     }
 
@@ -71,7 +71,7 @@
     @Command(description = "CPU that an invocation costs the server by each protocol.")
     int cpu(@Option(names = "--quick", description = "Shorter rounds.") boolean quick)
             throws Exception {
-        new MixBench(quick ? 3 : 6).cpu(quick ? 2 : 4);
+        new MixBench(quick ? 3 : 6).measureCpu(quick ? 2 : 4);
         return 0;
     }
 
--- a/tools/src/main/java/ochretiller/tools/UwsgiClient.java
+++ b/tools/src/main/java/ochretiller/tools/UwsgiClient.java
@@ -77,17 +77,17 @@
             if (request.token != null) {
                 vars.put("HTTP_IDEMPOTENCY_KEY", request.token);
             }
-            request.sentAt = System.nanoTime();
+            request.sentNanos = System.nanoTime();
             for (byte[] part : new UwsgiRequest(vars, body, false).encode()) {
                 socket.getOutputStream().write(part);
             }
-            if (request.vanishes) {
-                request.ends(MeasuredRequest.Outcome.VANISHED);
+            if (request.disconnectsEarly) {
+                request.end(MeasuredRequest.Outcome.ABANDONED);
                 return;
             }
-            request.ends(readOutcome(socket.getInputStream()));
+            request.end(readOutcome(socket.getInputStream()));
         } catch (IOException e) {
-            request.ends(MeasuredRequest.Outcome.NONE);
+            request.end(MeasuredRequest.Outcome.UNANSWERED);
         }
     }
 
@@ -97,16 +97,16 @@
         UwsgiResponse response = null;
         try {
             for (int count = in.read(buffer); count > 0 && response == null; ) {
-                response = decoder.read(buffer, 0, count);
+                response = decoder.decode(buffer, 0, count);
                 if (response == null) {
                     count = in.read(buffer);
                 }
             }
         } catch (SocketTimeoutException | SocketException e) {
-            return MeasuredRequest.Outcome.NONE;
+            return MeasuredRequest.Outcome.UNANSWERED;
         }
         if (response == null) {
-            return MeasuredRequest.Outcome.NONE;
+            return MeasuredRequest.Outcome.UNANSWERED;
         }
         if (in.read() >= 0) {
             unexpectedAnswerCount.increment();
@@ -119,7 +119,7 @@
     }
 
     @Override
-    public long surplus() {
+    public long unexpectedAnswers() {
         return unexpectedAnswerCount.sum();
     }
 
