--- a/emulator/src/main/java/ochretiller/emulator/FleetSimulateCommand.java
+++ b/emulator/src/main/java/ochretiller/emulator/FleetSimulateCommand.java
@@ -224,11 +224,11 @@
             total.unanswered += outcomes.unanswered;
             total.runs += outcomes.runs;
             total.conflicts += outcomes.conflicts;
-            total.staleDisksDetected += outcomes.staleDisksDetected;
+            total.staleDisksFound += outcomes.staleDisksFound;
             total.runsWithoutClaim += outcomes.runsWithoutClaim;
             total.excusedReruns += outcomes.excusedReruns;
             total.staleDisksRestored += outcomes.staleDisksRestored;
-            total.droppedMessages += outcomes.droppedMessages;
+            total.droppedSends += outcomes.droppedSends;
             total.messages += outcomes.messages;
             total.highestEpoch = Math.max(total.highestEpoch, outcomes.highestEpoch);
             total.claimLatencyMs.addAll(outcomes.claimLatencyMs);
@@ -266,8 +266,8 @@
                 total.claimLatencyMs(50),
                 total.claimLatencyMs(99),
                 total.staleDisksRestored,
-                total.staleDisksDetected,
-                total.droppedMessages,
+                total.staleDisksFound,
+                total.droppedSends,
                 total.excusedReruns,
                 total.runsWithoutClaim);
         return brokenCount == 0 ? 0 : EXIT_FAILED;
--- a/emulator/src/main/java/ochretiller/emulator/SimulateCommand.java
+++ b/emulator/src/main/java/ochretiller/emulator/SimulateCommand.java
@@ -259,9 +259,7 @@
                                         counts.throttled,
                                         counts.errored,
                                         counts.timedOut,
-                                        counts.offeredValue == 0
-                                                ? 1
-                                                : counts.earnedValue / counts.offeredValue));
+                                        counts.offered == 0 ? 1 : counts.earned / counts.offered));
         System.out.printf(
                 Locale.ROOT,
                 "read %d, answered %d, run %d; calls %d, falls of the records service %d%n",
--- a/emulator/src/main/java/ochretiller/emulator/experiment/Report.java
+++ b/emulator/src/main/java/ochretiller/emulator/experiment/Report.java
@@ -77,7 +77,7 @@
         addSecondsChart(
                 "value",
                 "Share of the billed value that was earned",
-                second -> second.offeredValue == 0 ? 1 : second.earnedValue / second.offeredValue);
+                second -> second.offered == 0 ? 1 : second.earned / second.offered);
         addSecondsChart(
                 "tries",
                 "Tries for each that was asked",
@@ -157,8 +157,8 @@
                         each.errored,
                         each.timedOut,
                         each.attempts,
-                        each.offeredValue,
-                        each.earnedValue
+                        each.offered,
+                        each.earned
                     };
                     for (int i = 0; i < sums.length; i++) {
                         sums[i] += values[i] / experiment.seedCount();
--- a/emulator/src/main/java/ochretiller/emulator/fleet/FleetScenario.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/FleetScenario.java
@@ -108,19 +108,19 @@
      * @throws MalformedException if it selects no member or one that does not exist
      */
     public Set<Integer> members(String who) {
-        Set<Integer> numbers = new TreeSet<>();
+        Set<Integer> ids = new TreeSet<>();
         if (who.isEmpty() || who.equals("all")) {
             for (int i = 1; i <= members; i++) {
-                numbers.add(i);
+                ids.add(i);
             }
-            return numbers;
+            return ids;
         }
         for (String part : who.split(",")) {
             if (part.startsWith("z")) {
                 int zone = Integer.parseInt(part.substring(1));
                 for (int i = 1; i <= members; i++) {
                     if (zoneOf(i) == zone) {
-                        numbers.add(i);
+                        ids.add(i);
                     }
                 }
             } else if (part.contains("/")) {
@@ -131,23 +131,21 @@
                                         * (part.charAt(0) - '0')
                                         / Math.max(1, part.charAt(2) - '0'));
                 for (int i = members - count + 1; i <= members; i++) {
-                    numbers.add(i);
+                    ids.add(i);
                 }
             } else {
                 int dash = part.indexOf('-');
                 int first = Integer.parseInt(dash < 0 ? part : part.substring(0, dash));
                 int last = dash < 0 ? first : Integer.parseInt(part.substring(dash + 1));
                 for (int i = first; i <= last; i++) {
-                    numbers.add(i);
+                    ids.add(i);
                 }
             }
         }
-        if (numbers.isEmpty()
-                || numbers.iterator().next() < 1
-                || numbers.stream().anyMatch(i -> i > members)) {
+        if (ids.isEmpty() || ids.iterator().next() < 1 || ids.stream().anyMatch(i -> i > members)) {
             throw new MalformedException(name + ": no members '" + who + "' among " + members);
         }
-        return numbers;
+        return ids;
     }
 
     /** Returns this scenario with another number of members. */
--- a/emulator/src/main/java/ochretiller/emulator/fleet/RandomScenarios.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/RandomScenarios.java
@@ -145,8 +145,7 @@
         String who = randomMembers(random, members);
         switch (what) {
             case "kill" -> {
-                // A member that is not restarted must not be a seed: without any seed no server can
-                // join the fleet.
+                // Seeds are always restarted: without any seed no server can join the fleet.
                 if (random.nextInt(3) == 0) {
                     durationS = 0;
                     int first = Math.min(members, SEED_COUNT + 1);
--- a/emulator/src/main/java/ochretiller/emulator/fleet/ReplicationSimulation.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/ReplicationSimulation.java
@@ -133,7 +133,7 @@
         public int maxLaggingRanges;
         public long messages;
         public int conflicts;
-        public int staleDisksDetected;
+        public int staleDisksFound;
 
         public int runsWithoutClaim;
 
@@ -141,7 +141,7 @@
         public int excusedReruns;
 
         public int staleDisksRestored;
-        public long droppedMessages;
+        public long droppedSends;
         public long fetchedBytes;
 
         /** Milliseconds from the start of each claim until a majority granted it. */
@@ -257,7 +257,7 @@
         PlacementPlanner planner;
         boolean isUp;
         boolean isPaused;
-        boolean hasStarted;
+        boolean started;
         double stateChangedS;
         long incarnation;
         long lastProposalEvent;
@@ -288,8 +288,8 @@
                             hasSwitchedMode() ? SERVER_MODE : ClaimModeSettings.ALL_FLEET,
                             LIMITS.maxWindow(),
                             events.now());
-            boolean first = !hasStarted;
-            hasStarted = true;
+            boolean first = !started;
+            started = true;
             if (first && initialPlacement != null) {
                 disk =
                         new DiskImage(
@@ -527,7 +527,7 @@
             Map<String, Boolean> view = new HashMap<>();
             List<ReplicaServer> servers = new ArrayList<>();
             for (Host each : hosts.values()) {
-                if (!each.hasStarted) {
+                if (!each.started) {
                     continue;
                 }
                 boolean isLive = each.isUp && !each.isPaused;
@@ -712,24 +712,19 @@
             if (replica != null) {
                 storeAssembledResults();
                 List<String> tokens = replica.takeChangedTokens();
-                boolean saveMetadata = replica.takeMetadataChanged();
+                boolean metadataDue = replica.takeMetadataChanged();
                 if (events.nowSeconds() - metadataSavedS > 1) {
                     metadataSavedS = events.nowSeconds();
-                    saveMetadata = true;
+                    metadataDue = true;
                 }
-                SubmittedChange change =
-                        barrier.submit(tokens, saveMetadata, replica.takeOutbound());
-                change.writes().forEach(this::write);
-                for (OutboundMessage outbound : change.sendableMessages()) {
+                SubmittedChange batch = barrier.submit(tokens, metadataDue, replica.takeOutbound());
+                batch.writes().forEach(this::write);
+                for (OutboundMessage outbound : batch.sendableMessages()) {
                     send(numberOf(outbound.recipient()), outbound.message());
                 }
-                outcomes.staleDisksDetected =
-                        (int)
-                                Math.max(
-                                        outcomes.staleDisksDetected,
-                                        replica.statistics().staleDisks());
-                outcomes.droppedMessages =
-                        Math.max(outcomes.droppedMessages, barrier.droppedMessages());
+                outcomes.staleDisksFound =
+                        (int) Math.max(outcomes.staleDisksFound, replica.statistics().staleDisks());
+                outcomes.droppedSends = Math.max(outcomes.droppedSends, barrier.droppedMessages());
                 outcomes.fetchedBytes =
                         Math.max(outcomes.fetchedBytes, replica.statistics().receivedBytes());
                 outcomes.conflicts =
@@ -981,8 +976,7 @@
             case START -> {
                 if (!host.isUp) {
                     host.start(
-                            host.hasStarted && random.nextDouble() >= lostDiskShare
-                                    || !host.hasStarted);
+                            host.started && random.nextDouble() >= lostDiskShare || !host.started);
                 }
             }
             case IMAGE -> {}
@@ -1028,16 +1022,16 @@
         outcomes.attempts++;
         double submittedS = events.nowSeconds();
         Duration deadline = events.now().plus(ATTEMPT_TIMEOUT);
-        boolean[] isAnswered = {false};
+        boolean[] replied = {false};
         // An attempt without an outcome at its deadline is answered with an error, provided that
         // its server is still up; a later outcome is ignored.
         events.schedule(
                 ATTEMPT_TIMEOUT,
                 () -> {
-                    if (isAnswered[0]) {
+                    if (replied[0]) {
                         return;
                     }
-                    isAnswered[0] = true;
+                    replied[0] = true;
                     if (host.incarnation != incarnation || !host.isUp || host.isPaused) {
                         outcomes.unanswered++;
                     } else {
@@ -1058,7 +1052,7 @@
         if (requirement == ClaimRequirement.NOT_REQUIRED || host.localResults.containsKey(token)) {
             String localResult = host.localResults.putIfAbsent(token, "");
             if (localResult != null) {
-                isAnswered[0] = true;
+                replied[0] = true;
                 if (localResult.isEmpty()) {
                     outcomes.errored++;
                 } else if (localResult.startsWith(body + " by ")) {
@@ -1068,12 +1062,12 @@
                 }
                 return;
             }
-            startRun(host, incarnation, token, body, null, deadline, isAnswered);
+            startRun(host, incarnation, token, body, null, deadline, replied);
             return;
         }
         Consumer<ClaimDecision> onDecision =
                 decision -> {
-                    if (isAnswered[0]) {
+                    if (replied[0]) {
                         // The client was already answered: the run must not start.
                         if (decision.kind() == ClaimDecision.Kind.RUN) {
                             host.coordinator.releaseClaim(
@@ -1090,24 +1084,23 @@
                                     .recordClaim(
                                             requirement == ClaimRequirement.REQUIRED,
                                             events.nowSeconds());
-                            startRun(
-                                    host, incarnation, token, body, decision, deadline, isAnswered);
+                            startRun(host, incarnation, token, body, decision, deadline, replied);
                         }
                         case REPLAY -> {
-                            isAnswered[0] = true;
+                            replied[0] = true;
                             outcomes.replayed++;
                             recordSuccess(token, body, decision.outcome().orElseThrow().result());
                         }
                         case THROTTLED -> {
-                            isAnswered[0] = true;
+                            replied[0] = true;
                             outcomes.throttled++;
                         }
                         case FINGERPRINT_MISMATCH -> {
-                            isAnswered[0] = true;
+                            replied[0] = true;
                             outcomes.fingerprintMismatches++;
                         }
                         default -> {
-                            isAnswered[0] = true;
+                            replied[0] = true;
                             outcomes.errored++;
                         }
                     }
@@ -1126,12 +1119,12 @@
 
     private void startRun(
             Host host,
-            long incarnation,
+            long instance,
             String token,
             String body,
-            ClaimDecision decision,
+            ClaimDecision claim,
             Duration deadline,
-            boolean[] isAnswered) {
+            boolean[] replied) {
         TokenHistory history = tokens.get(token);
         outcomes.runs++;
         for (int i = 0; i < history.runTimesS.size(); i++) {
@@ -1144,10 +1137,10 @@
             if (isExcused(history.replicasAtRun.get(i), runS)) {
                 outcomes.excusedReruns++;
             } else {
-                recordViolation(token + " was run again by " + host.name + ", " + decision);
+                recordViolation(token + " was run again by " + host.name + ", " + claim);
             }
         }
-        if (decision == null && usesClaims) {
+        if (claim == null && usesClaims) {
             history.recordClaim(false, events.nowSeconds());
             outcomes.runsWithoutClaim++;
         }
@@ -1156,23 +1149,14 @@
                 host.coordinator.placement().replicasOf(ReplicaPlacement.rangeOf(token)));
         double durationS =
                 random.nextInt(8) == 0 ? 3 * random.nextDouble() : 0.05 * random.nextDouble();
-        String result = body + " by " + host.name + " " + incarnation + " " + outcomes.runs;
+        String result = body + " by " + host.name + " " + instance + " " + outcomes.runs;
         if (token.hashCode() % TOKENS_PER_CHUNKED_RESULT == 0) {
             result += ".".repeat(ClaimOutcome.MAX_INLINE_BYTES + random.nextInt(20_000));
         }
-        String finalResult = result;
+        String fullResult = result;
         events.schedule(
                 durationS,
-                () ->
-                        finishRun(
-                                host,
-                                incarnation,
-                                token,
-                                body,
-                                finalResult,
-                                decision,
-                                deadline,
-                                isAnswered));
+                () -> finishRun(host, instance, token, body, fullResult, claim, deadline, replied));
     }
 
     /**
@@ -1216,48 +1200,39 @@
 
     private void finishRun(
             Host host,
-            long incarnation,
+            long instance,
             String token,
             String body,
             String result,
-            ClaimDecision decision,
+            ClaimDecision claim,
             Duration deadline,
-            boolean[] isAnswered) {
-        if (!host.isUp || host.incarnation != incarnation) {
+            boolean[] replied) {
+        if (!host.isUp || host.incarnation != instance) {
             return;
         }
         if (host.isPaused) {
             events.schedule(
                     0.1,
-                    () ->
-                            finishRun(
-                                    host,
-                                    incarnation,
-                                    token,
-                                    body,
-                                    result,
-                                    decision,
-                                    deadline,
-                                    isAnswered));
+                    () -> finishRun(host, instance, token, body, result, claim, deadline, replied));
             return;
         }
-        if (decision == null) {
+        if (claim == null) {
             host.localResults.put(token, result);
-            if (isAnswered[0]) {
+            if (replied[0]) {
                 return;
             }
-            isAnswered[0] = true;
+            replied[0] = true;
             recordSuccess(token, body, result);
             return;
         }
         host.coordinator.reportOutcome(
-                completedClaim(decision, body, result, deadline),
+                completedClaim(claim, body, result, deadline),
                 events.now(),
                 isStored -> {
-                    if (isAnswered[0]) {
+                    if (replied[0]) {
                         return;
                     }
-                    isAnswered[0] = true;
+                    replied[0] = true;
                     // A result that no majority stored in time could be lost: answer an error.
                     if (isStored) {
                         recordSuccess(token, body, result);
--- a/emulator/src/main/java/ochretiller/emulator/simulation/Simulation.java
+++ b/emulator/src/main/java/ochretiller/emulator/simulation/Simulation.java
@@ -38,7 +38,7 @@
     private final List<DurableStorageModel> storages = new ArrayList<>();
 
     private final List<GatewayModel> gateways = new ArrayList<>();
-    private final RecordsServiceModel recordsService;
+    private final RecordsServiceModel records;
     private final SplittableRandom delayRandom;
     private final SplittableRandom recordsServiceDelayRandom;
     private final SplittableRandom arrivalRandom;
@@ -58,7 +58,7 @@
         this.scenario = scenario;
         this.randomStreams = new RandomStreams(seed);
         this.result = new SimulationResult(scenario);
-        this.recordsService =
+        this.records =
                 new RecordsServiceModel(events, scenario.ledger(), randomStreams.stream("ledger"));
         this.delayRandom = randomStreams.stream("network");
         this.recordsServiceDelayRandom = randomStreams.stream("network to the ledger");
@@ -146,29 +146,22 @@
         }
         scheduleNextRequest();
         recordSample();
-        double longestTimeout =
+        double maxWait =
                 scenario.operations().stream()
                                 .mapToDouble(Scenario.Operation::timeoutMs)
                                 .max()
                                 .orElse(0)
                         / 1e3;
-        double longestReturnDelay =
+        double maxReturn =
                 scenario.operations().stream()
                         .mapToDouble(Scenario.Operation::backS)
                         .max()
                         .orElse(0);
         events.runUntil(
-                scenario.seconds()
-                        + 2 * longestTimeout
-                        + longestReturnDelay
-                        + SETTLE_S
-                        + scenario.fleet().stopS());
+                scenario.seconds() + 2 * maxWait + maxReturn + SETTLE_S + scenario.fleet().stopS());
         rules.finish(events.nowSeconds());
         result.finish(
-                rules,
-                events.executedEvents(),
-                recordsService.callCount(),
-                recordsService.overloadOutages());
+                rules, events.executedEvents(), records.callCount(), records.overloadOutages());
         return result;
     }
 
@@ -206,7 +199,7 @@
         events.schedule(
                 delay,
                 () ->
-                        recordsService.call(
+                        records.call(
                                 status -> events.schedule(delay, () -> onOutcome.accept(status))));
     }
 
@@ -355,9 +348,9 @@
             case "ledger-slow" ->
                     applyDuring(
                             incident,
-                            () -> recordsService.setSlowdown(incident.strength()),
-                            () -> recordsService.setSlowdown(1));
-            case "ledger-down" -> recordsService.goDown(incident.forS());
+                            () -> records.setSlowdown(incident.strength()),
+                            () -> records.setSlowdown(1));
+            case "ledger-down" -> records.goDown(incident.forS());
             case "cut" ->
                     applyDuring(
                             incident,
@@ -460,7 +453,7 @@
                 servers.size(),
                 attempts,
                 runningJobs,
-                recordsService.callsInProgress());
+                records.callsInProgress());
         if (events.nowSeconds() < scenario.seconds()) {
             events.schedule(SimulationResult.SAMPLE_INTERVAL_S, this::recordSample);
         }
--- a/emulator/src/main/java/ochretiller/emulator/simulation/SimulationResult.java
+++ b/emulator/src/main/java/ochretiller/emulator/simulation/SimulationResult.java
@@ -24,10 +24,10 @@
      */
     private static final long MAX_LATENCY_US = 3_600_000_000L;
 
-    /** Totals over a group of requests: their possible and earned value, and their outcomes. */
+    /** Totals over a group of requests: their offered and earned value, and their outcomes. */
     public static final class Totals {
-        public double offeredValue;
-        public double earnedValue;
+        public double offered;
+        public double earned;
         public int requests;
         public int succeeded;
         public int throttled;
@@ -92,7 +92,7 @@
                         byOperation.get(operation.name()),
                         callerGroup(caller))) {
             totals.requests++;
-            totals.offeredValue += operation.value();
+            totals.offered += operation.value();
         }
     }
 
@@ -124,7 +124,7 @@
                         totalsOfSecond(sentAt),
                         byOperation.get(operation.name()),
                         callerGroup(caller))) {
-            totals.earnedValue += valueFactor * operation.value();
+            totals.earned += valueFactor * operation.value();
             totals.attempts += attempts;
             switch (outcome) {
                 case SUCCEEDED -> totals.succeeded++;
@@ -153,25 +153,20 @@
 
     /** Returns the earned share of the billed value that could be earned, 1 if there is none. */
     public double valueShare() {
-        double offered = totalsPerSecond.stream().mapToDouble(totals -> totals.offeredValue).sum();
+        double offered = totalsPerSecond.stream().mapToDouble(totals -> totals.offered).sum();
         return offered == 0
                 ? 1
-                : totalsPerSecond.stream().mapToDouble(totals -> totals.earnedValue).sum()
-                        / offered;
+                : totalsPerSecond.stream().mapToDouble(totals -> totals.earned).sum() / offered;
     }
 
     /** Returns the value share of the first tenth of the callers, who send more under skew. */
     public double heavyCallersValueShare() {
-        return heavyCallers.offeredValue == 0
-                ? 1
-                : heavyCallers.earnedValue / heavyCallers.offeredValue;
+        return heavyCallers.offered == 0 ? 1 : heavyCallers.earned / heavyCallers.offered;
     }
 
     /** Returns the value share of all other callers. */
     public double otherCallersValueShare() {
-        return otherCallers.offeredValue == 0
-                ? 1
-                : otherCallers.earnedValue / otherCallers.offeredValue;
+        return otherCallers.offered == 0 ? 1 : otherCallers.earned / otherCallers.offered;
     }
 
     /** Returns the lowest value share of any ten consecutive seconds. */
@@ -181,8 +176,8 @@
             double offered = 0;
             double earned = 0;
             for (Totals totals : totalsPerSecond.subList(i, i + 10)) {
-                offered += totals.offeredValue;
-                earned += totals.earnedValue;
+                offered += totals.offered;
+                earned += totals.earned;
             }
             if (offered > 0) {
                 worst = Math.min(worst, earned / offered);
