--- a/src/main/java/ochretiller/fleet/membership/package-info.java
+++ b/src/main/java/ochretiller/fleet/membership/package-info.java
@@ -28,8 +28,8 @@
  *   <li>Unresponsive members are still probed at a low rate, so that the halves of a partition
  *       rediscover each other. Views are compared by digests (anti-entropy) instead of SWIM's full
  *       state exchange.
- *   <li>Timeouts use {@link ochretiller.fleet.membership.AwakeClock}, which excludes the time in
- *       which the process was paused.
+ *   <li>Timeouts use {@link ochretiller.fleet.membership.PauseExcludingClock}, which excludes the
+ *       time in which the process was paused.
  * </ul>
  *
  * <p><b>State and threads.</b> All state is in memory and owned by one thread. The code is pure:
--- a/src/main/java/ochretiller/fleet/replication/ClaimAttempts.java
+++ b/src/main/java/ochretiller/fleet/replication/ClaimAttempts.java
@@ -131,7 +131,7 @@
         evaluate(attempt, now);
     }
 
-    /** Decides if the replies so far suffice; {@code docs/replication.md} has the table. */
+    /** Decides if the replies so far suffice; {@code docs/copies.md} has the table. */
     private void evaluate(ClaimAttempt attempt, Duration now) {
         ReplyTally tally = new ReplyTally(state.epoch());
         for (ReplicationMessage.ClaimReply reply : attempt.replies()) {
--- a/src/main/java/ochretiller/fleet/service/FleetService.java
+++ b/src/main/java/ochretiller/fleet/service/FleetService.java
@@ -99,12 +99,10 @@
                 Optional.ofNullable(settings.replication());
         replication =
                 replicationSettings.map(
-                        configured ->
+                        present ->
                                 new ReplicationService(
-                                        context, configured, self.incarnation(), maxWindow, store));
-        rollout =
-                replicationSettings.flatMap(
-                        configured -> createRollout(context, configured, server));
+                                        context, present, self.incarnation(), maxWindow, store));
+        rollout = replicationSettings.flatMap(present -> createRollout(context, present, server));
         rollout.ifPresent(service -> replication.orElseThrow().attachRollout(service));
         listenForCommands(runtime, server);
         metrics = new FleetMetrics(runtime.metrics(), membership, socket);
--- a/src/main/java/ochretiller/store/Store.java
+++ b/src/main/java/ochretiller/store/Store.java
@@ -42,10 +42,7 @@
     private final Thread writerThread;
     private final List<String> damageReports;
 
-    /**
-     * Time until which damage may hide acknowledged records, on the store's clock; empty without
-     * damage.
-     */
+    /** Until when damage may hide acknowledged records, on the store's clock; empty if none. */
     private final OptionalLong incompleteUntilMillis;
 
     private List<RecoveredEntry> recoveredEntries;
--- a/src/main/java/ochretiller/uwsgi/UwsgiFrontend.java
+++ b/src/main/java/ochretiller/uwsgi/UwsgiFrontend.java
@@ -187,7 +187,7 @@
             return MessageDigest.getInstance("SHA-256")
                     .digest(text.getBytes(StandardCharsets.ISO_8859_1));
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java platform has SHA-256", e);
+            throw new IllegalStateException("this Java platform lacks SHA-256", e);
         }
     }
 
--- a/src/test/java/ochretiller/WorkersIT.java
+++ b/src/test/java/ochretiller/WorkersIT.java
@@ -326,12 +326,11 @@
         deployment.signal("HUP");
         await(deployment.log, "configuration reloaded");
         int countBefore = workers.get(3).requests().size();
-        int countAtRemoval = workers.get(0).requests().size();
+        int countAtRemoval = workers.get(0).requests().size(); // at most four more in flight
         for (int i = 0; i < 500 && workers.get(3).requests().size() <= countBefore; i++) {
             Thread.sleep(20); // until the new worker has a request
         }
         assertThat(workers.get(3).requests().size()).isGreaterThan(countBefore);
-        // At most four requests were in flight at the reload.
         assertThat(workers.get(0).requests().size()).isLessThanOrEqualTo(countAtRemoval + 4);
         Files.writeString(folder.resolve("operator.json5"), "{ pools: 7 }");
         deployment.signal("HUP");
--- a/src/test/java/ochretiller/budgets/BudgetsTest.java
+++ b/src/test/java/ochretiller/budgets/BudgetsTest.java
@@ -183,7 +183,7 @@
                     team, new GuaranteedRate(rate, 0.2, random.nextDouble(0.1, 5), 0.1, 0.1));
         }
         budgets.setGuaranteedRates(guarantees, Duration.ZERO);
-        double grantedTotal = 0;
+        double granted = 0;
         double due = 0;
         double requestedRate = guarantees.get(PARTS).rate() * 0.98;
         for (int nowMillis = 0; nowMillis < 5_000; nowMillis++) {
@@ -191,13 +191,13 @@
                 assertThat(budgets.request(PARTS, 0.02, ms(nowMillis)).kind())
                         .as("seed %d at %d ms", seed, nowMillis)
                         .isEqualTo(BudgetDecision.Kind.GUARANTEED);
-                grantedTotal += 0.02;
+                granted += 0.02;
             }
             for (int i = random.nextInt(8); i > 0; i--) {
                 TeamId team = teams[1 + random.nextInt(3)];
                 double work = random.nextDouble(0.001, 0.1);
                 if (budgets.request(team, work, ms(nowMillis)).isGranted()) {
-                    grantedTotal += work;
+                    granted += work;
                 }
             }
             double limit =
@@ -205,12 +205,8 @@
                             + 4 * 0.2
                             + 0.5
                             + 4 * 0.1; // bursts, accumulated idle work, one request of each team
-            assertThat(grantedTotal)
-                    .as("seed %d at %d ms", seed, nowMillis)
-                    .isLessThanOrEqualTo(limit);
+            assertThat(granted).as("seed %d at %d ms", seed, nowMillis).isLessThanOrEqualTo(limit);
         }
-        assertThat(grantedTotal)
-                .as("the demand far exceeds the capacity")
-                .isGreaterThan(0.9 * 10 * 5);
+        assertThat(granted).as("the demand far exceeds the capacity").isGreaterThan(0.9 * 10 * 5);
     }
 }
