--- a/drill/src/main/java/ochretiller/drill/FaultProxy.java
+++ b/drill/src/main/java/ochretiller/drill/FaultProxy.java
@@ -20,46 +20,46 @@
 import ochretiller.emulator.fleet.LinkFaults;
 
 /**
- * What lies between servers: whoever is told a server's address is told a relay's, and the relay
- * does to each packet what the script says for its sender and its receiver.
+ * Relays UDP packets between servers and applies the scenario's network faults. Each server
+ * advertises the port of its relay, and a fault depends on the packet's sender and receiver.
  */
 final class FaultProxy implements AutoCloseable {
-    private static final int LONGEST = 64 * 1024;
+    private static final int MAX_PACKET_BYTES = 64 * 1024;
 
-    /** Packets that are under way at once. */
-    private static final int MOST = 100_000;
+    /** Limit on delayed packets at one time; packets beyond it are lost. */
+    private static final int MAX_DELAYED_PACKETS = 100_000;
 
-    /** Packets of each address that are kept to be replayed. */
-    private static final int KEPT = 256;
+    /** Number of latest packets, of all relays, that floods can replay. */
+    private static final int MAX_RECENT_PACKETS = 256;
 
     private final LinkFaults faults;
     private final DoubleSupplier now;
     private final Selector selector = Selector.open();
     private final Map<Integer, Relay> relays = new ConcurrentHashMap<>();
-    private final Map<Integer, Integer> byPort = new ConcurrentHashMap<>();
-    private final PriorityQueue<Late> late =
-            new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
-    private final Map<Integer, Integer> slots = new ConcurrentHashMap<>();
-    private final List<byte[]> kept = new ArrayList<>();
+    private final Map<Integer, Integer> addressByPort = new ConcurrentHashMap<>();
+    private final PriorityQueue<DelayedPacket> delayedPackets =
+            new PriorityQueue<>((a, b) -> Long.compare(a.dueNanos, b.dueNanos));
+    private final Map<Integer, Integer> slotByAddress = new ConcurrentHashMap<>();
+    private final List<byte[]> packetHistory = new ArrayList<>();
 
-    /** Servers that are cut off from all others, beside what the script says. */
-    private volatile Set<Integer> apart = Set.of();
+    /** Slots that are cut off from all others, in addition to the scenario's faults. */
+    private volatile Set<Integer> isolatedSlots = Set.of();
 
-    final AtomicLong passed = new AtomicLong();
+    final AtomicLong forwarded = new AtomicLong();
     final AtomicLong dropped = new AtomicLong();
 
-    private record Late(long at, Relay relay, byte[] bytes) {}
+    private record DelayedPacket(long dueNanos, Relay relay, byte[] bytes) {}
 
-    /** One address, and the server behind it. */
+    /** The relay of one address and the socket address of its server. */
     private static final class Relay {
         final int address;
         final DatagramChannel channel;
-        final InetSocketAddress real;
+        final InetSocketAddress serverAddress;
 
-        Relay(int address, DatagramChannel channel, InetSocketAddress real) {
+        Relay(int address, DatagramChannel channel, InetSocketAddress serverAddress) {
             this.address = address;
             this.channel = channel;
-            this.real = real;
+            this.serverAddress = serverAddress;
         }
     }
 
@@ -68,8 +68,8 @@
         this.now = now;
     }
 
-    /** Opens the way to an address; its relay's port. */
-    int open(int address, int realPort) throws IOException {
+    /** Opens the relay of an address and returns the relay's port. */
+    int openRelay(int address, int serverPort) throws IOException {
         DatagramChannel channel = DatagramChannel.open();
         channel.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         channel.configureBlocking(false);
@@ -77,105 +77,111 @@
                 new Relay(
                         address,
                         channel,
-                        new InetSocketAddress(InetAddress.getLoopbackAddress(), realPort));
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), serverPort));
         relays.put(address, relay);
-        byPort.put(realPort, address);
+        addressByPort.put(serverPort, address);
         selector.wakeup();
         channel.register(selector, SelectionKey.OP_READ, relay);
         return ((InetSocketAddress) channel.getLocalAddress()).getPort();
     }
 
-    /** Who is at an address from now on. */
-    void at(int address, int slot) {
-        slots.put(address, slot);
+    /** Sets the slot of the server that now uses an address. */
+    void assignSlot(int address, int slot) {
+        slotByAddress.put(address, slot);
     }
 
-    /** From now on these are apart from all others. */
-    void cut(Set<Integer> these) {
-        apart = Set.copyOf(these);
+    /** Cuts these slots off from all others until the next call; an empty set ends the cut. */
+    void isolate(Set<Integer> slots) {
+        isolatedSlots = Set.copyOf(slots);
     }
 
     void start() {
-        Thread thread = new Thread(this::work, "links");
+        Thread thread = new Thread(this::forwardPackets, "links");
         thread.setDaemon(true);
         thread.setPriority(Thread.MAX_PRIORITY);
         thread.start();
     }
 
-    private void work() {
-        ByteBuffer buffer = ByteBuffer.allocate(LONGEST);
+    private void forwardPackets() {
+        ByteBuffer buffer = ByteBuffer.allocate(MAX_PACKET_BYTES);
         try {
             while (selector.isOpen()) {
-                long wait =
-                        late.isEmpty()
+                long waitMs =
+                        delayedPackets.isEmpty()
                                 ? 50
-                                : Math.max(1, (late.peek().at - System.nanoTime()) / 1_000_000);
-                selector.select(Math.min(wait, 50));
+                                : Math.max(
+                                        1,
+                                        (delayedPackets.peek().dueNanos - System.nanoTime())
+                                                / 1_000_000);
+                selector.select(Math.min(waitMs, 50));
                 for (SelectionKey key : selector.selectedKeys()) {
                     Relay relay = (Relay) key.attachment();
                     InetSocketAddress from;
                     while ((from = (InetSocketAddress) relay.channel.receive(buffer.clear()))
                             != null) {
-                        pass(relay, from, buffer.flip());
+                        forward(relay, from, buffer.flip());
                     }
                 }
                 selector.selectedKeys().clear();
-                while (!late.isEmpty() && late.peek().at <= System.nanoTime()) {
-                    send(late.poll());
+                while (!delayedPackets.isEmpty()
+                        && delayedPackets.peek().dueNanos <= System.nanoTime()) {
+                    send(delayedPackets.poll());
                 }
             }
         } catch (ClosedSelectorException | ClosedChannelException e) {
-            // the drill is over
+            // the proxy was closed
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    private void pass(Relay relay, InetSocketAddress from, ByteBuffer packet) {
-        Integer sender = byPort.get(from.getPort());
+    private void forward(Relay relay, InetSocketAddress from, ByteBuffer packet) {
+        Integer sender = addressByPort.get(from.getPort());
         byte[] bytes = new byte[packet.remaining()];
         packet.get(bytes);
-        synchronized (kept) {
-            if (kept.size() == KEPT) {
-                kept.remove(0);
+        synchronized (packetHistory) {
+            if (packetHistory.size() == MAX_RECENT_PACKETS) {
+                packetHistory.remove(0);
             }
-            kept.add(bytes);
+            packetHistory.add(bytes);
         }
-        int fromSlot = sender == null ? 0 : slots.getOrDefault(sender, 0);
-        int toSlot = slots.getOrDefault(relay.address, 0);
-        boolean cut = apart.contains(fromSlot) != apart.contains(toSlot);
-        List<LinkFaults.Copy> fate =
-                cut ? List.of() : faults.fate(fromSlot, toSlot, now.getAsDouble());
-        if (fate.isEmpty()) {
+        int fromSlot = sender == null ? 0 : slotByAddress.getOrDefault(sender, 0);
+        int toSlot = slotByAddress.getOrDefault(relay.address, 0);
+        boolean isolated = isolatedSlots.contains(fromSlot) != isolatedSlots.contains(toSlot);
+        List<LinkFaults.Copy> copies =
+                isolated ? List.of() : faults.deliveredCopies(fromSlot, toSlot, now.getAsDouble());
+        if (copies.isEmpty()) {
             dropped.incrementAndGet();
         }
-        for (LinkFaults.Copy copy : fate) {
+        for (LinkFaults.Copy copy : copies) {
             byte[] sent = bytes;
-            if (copy.spoilt()) {
+            if (copy.isCorrupted()) {
                 sent = bytes.clone();
-                sent[(int) (passed.get() % sent.length)] ^= 0x20;
+                sent[(int) (forwarded.get() % sent.length)] ^= 0x20;
             }
-            passed.incrementAndGet();
+            forwarded.incrementAndGet();
             if (copy.delayMs() <= 0) {
-                send(new Late(0, relay, sent));
-            } else if (late.size() < MOST) {
-                late.add(new Late(System.nanoTime() + (long) (copy.delayMs() * 1e6), relay, sent));
+                send(new DelayedPacket(0, relay, sent));
+            } else if (delayedPackets.size() < MAX_DELAYED_PACKETS) {
+                delayedPackets.add(
+                        new DelayedPacket(
+                                System.nanoTime() + (long) (copy.delayMs() * 1e6), relay, sent));
             }
         }
     }
 
-    private static void send(Late packet) {
+    private static void send(DelayedPacket packet) {
         try {
-            packet.relay.channel.send(ByteBuffer.wrap(packet.bytes), packet.relay.real);
+            packet.relay.channel.send(ByteBuffer.wrap(packet.bytes), packet.relay.serverAddress);
         } catch (IOException e) {
-            // nobody is there: the packet is lost, as on a network
+            // no server listens there: the packet is lost, as on a network
         }
     }
 
-    /** Packets that went by, for floods that replay them. */
-    List<byte[]> heard() {
-        synchronized (kept) {
-            return List.copyOf(kept);
+    /** Returns the packets received last, for floods that replay them. */
+    List<byte[]> recentPackets() {
+        synchronized (packetHistory) {
+            return List.copyOf(packetHistory);
         }
     }
 
--- a/drill/src/main/java/ochretiller/drill/ServerProcess.java
+++ b/drill/src/main/java/ochretiller/drill/ServerProcess.java
@@ -28,87 +28,91 @@
 import ochretiller.fakes.FakeServices;
 import ochretiller.fakes.GatewayMessages;
 
-/** One slot: a packaged server with stand-ins of its own, started as often as the script says. */
+/** The packaged server in one slot of a scenario, with its own fake services; restartable. */
 final class ServerProcess {
-    private static final Pattern PART = Pattern.compile("(\\S+)/([0-9a-f]+) takes part in fleet");
+    private static final Pattern JOINED_LOG_LINE =
+            Pattern.compile("(\\S+)/([0-9a-f]+) takes part in fleet");
 
-    /** Two dozen servers fit the machine beside what they are drilled with. */
+    /** Low enough for two dozen servers and the drill itself on one machine. */
     private static final int MEMORY_MB = 64;
 
-    private static final int LOAD_MB = 256;
+    private static final int BENCHMARK_MEMORY_MB = 256;
 
-    /** Spans short enough to be drilled. */
-    private static final String VERSIONS =
+    /** Durations are shorter than in production to keep the drill short. */
+    private static final String ROLLOUT_SETTINGS =
             ", versions: { folder: '%s', lease_ms: 2000, grace_ms: 3000, watch_ms: 3000,"
                     + " patience_ms: 4000 }";
 
-    private static final int STARTS_S = 40;
+    private static final int START_TIMEOUT_S = 40;
 
-    /** The repository, whose package is drilled. */
+    /** The root of the repository, whose packaged server is started. */
     private static final Path ROOT =
             Path.of(System.getProperty("drill.root", ".")).toAbsolutePath();
 
     private static final int FIRST_PORT = 15_000;
-    private static final int PORTS = 15_000;
-    private static final AtomicInteger NEXT =
-            new AtomicInteger((int) (ProcessHandle.current().pid() * 97 % PORTS));
+    private static final int PORT_COUNT = 15_000;
+    private static final AtomicInteger NEXT_PORT =
+            new AtomicInteger((int) (ProcessHandle.current().pid() * 97 % PORT_COUNT));
 
     final FaultSchedule.Slot slot;
-    final int serves;
+    final int clientPort;
     private final Path folder;
-    private final FakeServices outside;
+    private final FakeServices services;
     private volatile History history;
     private Process process;
-    private CountDownLatch part = new CountDownLatch(1);
+    private CountDownLatch readyLatch = new CountDownLatch(1);
 
-    /** Its lines about the fleet, which are bounded by the server itself. */
-    private final Queue<String> said = new ConcurrentLinkedQueue<>();
+    /** Log lines about the fleet; the server itself limits their number. */
+    private final Queue<String> fleetLogLines = new ConcurrentLinkedQueue<>();
 
-    volatile String start;
-    volatile boolean up;
+    /** The incarnation of the process, or its pid in hexadecimal if it is not in a fleet. */
+    volatile String incarnation;
+
+    volatile boolean ready;
     volatile boolean paused;
-    volatile boolean leaves;
+    volatile boolean leaving;
 
-    /** What becomes of the end of a run that was begun: by default it comes at once. */
-    volatile Consumer<Runnable> ends = Runnable::run;
+    /** Receives the action that completes a run; runs it at once by default. */
+    volatile Consumer<Runnable> completionHandler = Runnable::run;
 
-    /** Whether it has room for a load that is measured. */
-    boolean forLoad;
+    /** Whether memory and entry limits are raised for a benchmark. */
+    boolean benchmarkLimits;
 
-    /** What else its operators' file says, as members of it. */
-    String more = "";
+    /** Additional JSON5 members of the operator file, each with a trailing comma. */
+    String extraOperatorSettings = "";
 
-    /** Whether versions are brought out to it. */
-    boolean versions;
+    /** Whether configuration rollouts and the audit log are enabled. */
+    boolean rolloutsEnabled;
 
-    /** How its next process claims, as the operators' file says it. */
-    volatile String mode = "fleet";
+    /** The claim mode of the next process: {@code fleet} or {@code server}. */
+    volatile String claimMode = "fleet";
 
-    /** Characters on top of each result. */
-    volatile int longer;
+    /** Number of characters appended to each result. */
+    volatile int resultPaddingChars;
 
-    ServerProcess(FaultSchedule.Slot slot, Path folder, History history, FakeServices.Runs runs)
+    ServerProcess(
+            FaultSchedule.Slot slot, Path folder, History history, FakeServices.RunHandler runs)
             throws IOException {
         this.slot = slot;
         this.folder = Files.createDirectories(folder.resolve("server-" + slot.number()));
         this.history = history;
-        // Of another run.
+        // These files may be left over from an earlier run in the same folder.
         Files.deleteIfExists(this.folder.resolve("voter"));
         Files.deleteIfExists(this.folder.resolve("peers"));
         DiskFaults.delete(this.folder.resolve("versions"));
-        DiskFaults.delete(audit());
-        diskIs(null);
-        DiskFaults.delete(store());
-        DiskFaults.delete(image());
-        this.serves = freePort();
-        outside = new FakeServices("127.0.0.1", new int[3], line -> {}, report -> {});
-        outside.runs =
+        DiskFaults.delete(auditFolder());
+        setDiskFault(null);
+        DiskFaults.delete(storeFolder());
+        DiskFaults.delete(imageFolder());
+        this.clientPort = freePort();
+        services = new FakeServices("127.0.0.1", new int[3], line -> {}, report -> {});
+        services.runHandler =
                 (rid, operation, body) -> {
-                    runs.begun(rid, operation, body);
-                    ends.accept(
+                    runs.onBegin(rid, operation, body);
+                    completionHandler.accept(
                             () -> {
                                 try {
-                                    outside.complete(
+                                    services.complete(
                                             rid,
                                             "done "
                                                     + body
@@ -116,7 +120,7 @@
                                                     + slot.number()
                                                     + " as "
                                                     + rid
-                                                    + ".".repeat(longer));
+                                                    + ".".repeat(resultPaddingChars));
                                 } catch (IOException e) {
                                     throw new UncheckedIOException(e);
                                 }
@@ -124,226 +128,240 @@
                 };
     }
 
-    private Path store() {
+    private Path storeFolder() {
         return folder.resolve("store");
     }
 
-    private Path image() {
+    private Path imageFolder() {
         return folder.resolve("image");
     }
 
-    /** Takes an image of its disk as it is, in the midst of whatever is written. */
+    /** Copies the store while the server may be writing to it. */
     void takeImage() throws IOException {
-        DiskFaults.delete(image());
-        DiskFaults.copy(store(), image());
+        DiskFaults.delete(imageFolder());
+        DiskFaults.copy(storeFolder(), imageFolder());
     }
 
     /**
-     * Makes its disk what the script says, while it is down; what a voter has promised is on
-     * another disk.
+     * Puts the store into the given state while the server is down. The voter file is kept, as if
+     * it were on another disk.
      */
-    void disk(FleetScenario.Disk what) throws IOException {
-        switch (what) {
-            case EMPTY -> DiskFaults.delete(store());
+    void prepareDisk(FleetScenario.Disk disk) throws IOException {
+        switch (disk) {
+            case EMPTY -> DiskFaults.delete(storeFolder());
             case OLD -> {
-                DiskFaults.delete(store());
-                DiskFaults.copy(image(), store());
+                DiskFaults.delete(storeFolder());
+                DiskFaults.copy(imageFolder(), storeFolder());
             }
-            case CUT -> DiskFaults.cut(store());
+            case CUT -> DiskFaults.truncate(storeFolder());
             default -> {}
         }
     }
 
-    /** Where what it acted on is kept. */
-    Path audit() {
+    /** Returns the folder of the audit log. */
+    Path auditFolder() {
         return folder.resolve("audit");
     }
 
-    private Path fault() {
+    private Path diskFaultFile() {
         return folder.resolve("disk-fault");
     }
 
     /**
-     * Its disk takes nothing any more ({@code full}), or waits ({@code stall}); null makes it well.
+     * Sets the disk fault: {@code full} makes writes fail, {@code stall} makes them wait, null ends
+     * the fault.
      */
-    void diskIs(String what) throws IOException {
-        if (what == null) {
-            Files.deleteIfExists(fault());
+    void setDiskFault(String fault) throws IOException {
+        if (fault == null) {
+            Files.deleteIfExists(diskFaultFile());
             return;
         }
-        Path half = folder.resolve("disk-fault.tmp");
-        Files.writeString(half, what);
-        Files.move(half, fault(), StandardCopyOption.ATOMIC_MOVE);
+        Path temporary = folder.resolve("disk-fault.tmp");
+        Files.writeString(temporary, fault);
+        Files.move(temporary, diskFaultFile(), StandardCopyOption.ATOMIC_MOVE);
     }
 
-    /** What happens from here on is noted there. */
-    void become(History next) {
+    /** Records further events in {@code next}. */
+    void setHistory(History next) {
         history = next;
     }
 
     /**
-     * A port that is free for streams and datagrams, below those that the system hands out by
-     * itself: one of those could be somebody's end of a connection by the time a server listens.
+     * Returns a port that is free for TCP and UDP. Ephemeral ports are avoided, since an outgoing
+     * connection could take one before the server listens on it.
      */
     static int freePort() throws IOException {
-        for (int tries = 0; tries < PORTS; tries++) {
-            int port = FIRST_PORT + Math.floorMod(NEXT.getAndIncrement(), PORTS);
-            try (ServerSocket stream = new ServerSocket(port, 1, InetAddress.getLoopbackAddress());
-                    DatagramSocket datagrams =
+        for (int attempt = 0; attempt < PORT_COUNT; attempt++) {
+            int port = FIRST_PORT + Math.floorMod(NEXT_PORT.getAndIncrement(), PORT_COUNT);
+            try (ServerSocket tcp = new ServerSocket(port, 1, InetAddress.getLoopbackAddress());
+                    DatagramSocket udp =
                             new DatagramSocket(port, InetAddress.getLoopbackAddress())) {
-                if (stream.isBound() && datagrams.isBound()) {
+                if (tcp.isBound() && udp.isBound()) {
                     return port;
                 }
             } catch (BindException e) {
-                // the next one
+                // try the next port
             }
         }
-        throw new IOException("no free port");
+        throw new IOException(
+                "no free port from " + FIRST_PORT + " to " + (FIRST_PORT + PORT_COUNT - 1));
     }
 
     /**
-     * Starts the program on this address; returns at once.
+     * Starts the server process and returns without waiting until it is ready.
      *
-     * @param seeds where it is told that others are
-     * @param on whether it takes part in a fleet at all
-     * @param clockS seconds that its clock is set back
-     * @param voters how many of the first servers agree on epochs; 0 where the fleet keeps no
-     *     copies
-     * @param stores whether it remembers results on its disk
+     * @param listenPort its fleet port on the loopback address
+     * @param advertisedPort the port at which the other servers reach it
+     * @param seedPorts advertised ports of the seeds
+     * @param fleetEnabled whether it joins a fleet
+     * @param clockSetbackS seconds by which its clock is set back
+     * @param voterCount how many of the first servers vote on epochs; 0 without replication
+     * @param storeEnabled whether it stores results on disk
      */
     void start(
-            int listen,
-            int advertise,
-            List<Integer> seeds,
+            int listenPort,
+            int advertisedPort,
+            List<Integer> seedPorts,
             int probeMs,
-            boolean on,
-            double clockS,
-            int voters,
-            boolean stores)
+            boolean fleetEnabled,
+            double clockSetbackS,
+            int voterCount,
+            boolean storeEnabled)
             throws IOException {
-        Path config = folder.resolve("config.json");
+        Path configFile = folder.resolve("config.json");
         Files.writeString(
-                config,
+                configFile,
                 GatewayMessages.config(
-                                serves,
-                                outside.processorPort(),
-                                outside.recordsPort(),
-                                outside.rosterPort())
+                                clientPort,
+                                services.processorPort(),
+                                services.recordsPort(),
+                                services.rosterPort())
                         .replace("\"name\":\"n1\"", "\"name\":\"" + slot.name() + "\"")
                         .replace(
                                 "\"memory_mb\":192",
-                                "\"memory_mb\":" + (forLoad ? LOAD_MB : MEMORY_MB))
-                        .replace("\"keyKb\":10", "\"keyKb\":" + (forLoad ? 1 : 10))
+                                "\"memory_mb\":"
+                                        + (benchmarkLimits ? BENCHMARK_MEMORY_MB : MEMORY_MB))
+                        .replace("\"keyKb\":10", "\"keyKb\":" + (benchmarkLimits ? 1 : 10))
                         .replace(
                                 "\"windowNs\":10000000000",
-                                "\"windowNs\":" + (forLoad ? 1 : 10) + "000000000"));
-        Path key = folder.resolve("key");
-        Files.writeString(key, "a key that only drills have\n");
-        Path operator = folder.resolve("operator.json5");
-        List<String> told = new ArrayList<>();
-        for (int port : seeds) {
-            told.add("'127.0.0.1:" + port + "'");
+                                "\"windowNs\":" + (benchmarkLimits ? 1 : 10) + "000000000"));
+        Path keyFile = folder.resolve("key");
+        Files.writeString(keyFile, "a key that only drills have\n");
+        Path operatorFile = folder.resolve("operator.json5");
+        List<String> seedAddresses = new ArrayList<>();
+        for (int port : seedPorts) {
+            seedAddresses.add("'127.0.0.1:" + port + "'");
         }
-        String audit = versions ? "audit: { folder: '" + audit() + "', span_ms: 2000 }, " : "";
+        String auditSettings =
+                rolloutsEnabled
+                        ? "audit: { folder: '" + auditFolder() + "', span_ms: 2000 }, "
+                        : "";
         Files.writeString(
-                operator,
+                operatorFile,
                 "{ "
-                        + audit
-                        + more
+                        + auditSettings
+                        + extraOperatorSettings
                         + " metrics: { file: '"
                         + folder.resolve("metrics.prom")
                         + "', every_ms: 1000 },"
-                        + (stores ? "remember: { folder: '" + store() + "' }," : "")
-                        + (on
+                        + (storeEnabled ? "remember: { folder: '" + storeFolder() + "' }," : "")
+                        + (fleetEnabled
                                 ? """
                                 fleet: { name: 'drill', listen: '127.0.0.1:%d', advertise: '127.0.0.1:%d', key_file: '%s', peers_file: '%s', seeds: [%s], zone: 'z%d', probe_ms: %d%s }
                                 """
                                         .formatted(
-                                                listen,
-                                                advertise,
-                                                key,
+                                                listenPort,
+                                                advertisedPort,
+                                                keyFile,
                                                 folder.resolve("peers"),
-                                                String.join(",", told),
+                                                String.join(",", seedAddresses),
                                                 slot.zone(),
                                                 probeMs,
-                                                copies(voters))
+                                                replicationSettings(voterCount))
                                 : "")
                         + ", drill: { clock_ms: "
-                        + (long) (-clockS * 1000)
+                        + (long) (-clockSetbackS * 1000)
                         + ", disk_fault: '"
-                        + fault()
+                        + diskFaultFile()
                         + "' } }");
         ProcessBuilder builder =
                 new ProcessBuilder("sh", "deploy/serve.sh").redirectErrorStream(true);
         builder.directory(ROOT.toFile()).environment().put("OCHRETILLER_DRILL", "1");
-        builder.environment().put("EDGE_CONFIG", config.toString());
-        builder.environment().put("OPERATOR_FILE", operator.toString());
-        // A server that was killed takes its processor along: the next one knows nothing of its
-        // runs and counts its notices anew.
-        outside.keepsNotices = true;
+        builder.environment().put("EDGE_CONFIG", configFile.toString());
+        builder.environment().put("OPERATOR_FILE", operatorFile.toString());
+        // The processor restarts together with the server: it then knows no earlier runs and
+        // numbers its notices from the start.
+        services.resendsNotices = true;
         if (process != null) {
-            outside.restarted();
+            services.restartProcessor();
         }
-        part = new CountDownLatch(1);
-        Process started = process = builder.start();
-        CountDownLatch mine = part;
-        leaves = false;
+        readyLatch = new CountDownLatch(1);
+        Process newProcess = process = builder.start();
+        CountDownLatch newReadyLatch = readyLatch;
+        leaving = false;
         paused = false;
         DaemonThreads.start(
                 () -> {
-                    try (BufferedReader lines =
+                    try (BufferedReader output =
                                     new BufferedReader(
-                                            new InputStreamReader(started.getInputStream()));
+                                            new InputStreamReader(newProcess.getInputStream()));
                             BufferedWriter log =
                                     Files.newBufferedWriter(
-                                            folder.resolve("log-" + started.pid()))) {
-                        for (String line = lines.readLine();
+                                            folder.resolve("log-" + newProcess.pid()))) {
+                        for (String line = output.readLine();
                                 line != null;
-                                line = lines.readLine()) {
+                                line = output.readLine()) {
                             log.append(line).append('\n');
                             if (line.contains("fleet:")) {
-                                said.add(line);
+                                fleetLogLines.add(line);
                             }
                             log.flush();
-                            Matcher begins = PART.matcher(line);
-                            boolean serving = !on && line.contains(" listens on ");
-                            if (!begins.find() && !serving) {
+                            Matcher joined = JOINED_LOG_LINE.matcher(line);
+                            boolean listening = !fleetEnabled && line.contains(" listens on ");
+                            if (!joined.find() && !listening) {
                                 continue;
                             }
-                            start = serving ? Long.toHexString(started.pid()) : begins.group(2);
-                            up = true;
-                            history.add(History.What.STARTED, slot.number(), start, slot.name());
-                            mine.countDown();
+                            incarnation =
+                                    listening
+                                            ? Long.toHexString(newProcess.pid())
+                                            : joined.group(2);
+                            ready = true;
+                            history.add(
+                                    History.EventType.STARTED,
+                                    slot.number(),
+                                    incarnation,
+                                    slot.name());
+                            newReadyLatch.countDown();
                         }
                     }
                 });
     }
 
-    private String copies(int voters) {
-        if (voters == 0) {
+    private String replicationSettings(int voterCount) {
+        if (voterCount == 0) {
             return "";
         }
-        List<String> names = new ArrayList<>();
-        for (int i = 1; i <= voters; i++) {
-            names.add("'m" + i + "'");
+        List<String> voters = new ArrayList<>();
+        for (int i = 1; i <= voterCount; i++) {
+            voters.add("'m" + i + "'");
         }
         return ", copies: { voters: ["
-                + String.join(",", names)
+                + String.join(",", voters)
                 + "], voter_file: '"
                 + folder.resolve("voter")
                 + "', calm_ms: 1500, "
-                + (forLoad ? "most_entries: 100000, most_mb: 64, " : "")
+                + (benchmarkLimits ? "most_entries: 100000, most_mb: 64, " : "")
                 + "mode: '"
-                + mode
+                + claimMode
                 + "'"
-                + (versions ? VERSIONS.formatted(folder.resolve("versions")) : "")
+                + (rolloutsEnabled ? ROLLOUT_SETTINGS.formatted(folder.resolve("versions")) : "")
                 + " }";
     }
 
-    /** Whether it has logged a line with this in it, within a bounded time. */
-    boolean awaitLine(Pattern text, int withinS) throws InterruptedException {
-        for (int i = 0; i < withinS * 20; i++) {
-            if (said.stream().anyMatch(line -> text.matcher(line).find())) {
+    /** Waits for a log line about the fleet that contains the pattern; false after the timeout. */
+    boolean awaitLogLine(Pattern pattern, int timeoutS) throws InterruptedException {
+        for (int i = 0; i < timeoutS * 20; i++) {
+            if (fleetLogLines.stream().anyMatch(line -> pattern.matcher(line).find())) {
                 return true;
             }
             Thread.sleep(50);
@@ -351,9 +369,9 @@
         return false;
     }
 
-    /** Whether it has come to take part, within a bounded time. */
-    boolean awaitPart() throws InterruptedException {
-        return part.await(STARTS_S, TimeUnit.SECONDS);
+    /** Waits until the server has joined the fleet, or listens if it has none; false if late. */
+    boolean awaitReady() throws InterruptedException {
+        return readyLatch.await(START_TIMEOUT_S, TimeUnit.SECONDS);
     }
 
     private void signal(String name) throws IOException, InterruptedException {
@@ -364,8 +382,8 @@
         if (process == null || !process.isAlive()) {
             return;
         }
-        up = false;
-        history.add(History.What.KILLED, slot.number(), start, "");
+        ready = false;
+        history.add(History.EventType.KILLED, slot.number(), incarnation, "");
         process.destroyForcibly().waitFor();
         paused = false;
     }
@@ -375,7 +393,7 @@
             return;
         }
         paused = true;
-        history.add(History.What.PAUSED, slot.number(), start, "");
+        history.add(History.EventType.PAUSED, slot.number(), incarnation, "");
         signal("STOP");
     }
 
@@ -384,7 +402,7 @@
             return;
         }
         signal("CONT");
-        history.add(History.What.RESUMED, slot.number(), start, "");
+        history.add(History.EventType.RESUMED, slot.number(), incarnation, "");
         paused = false;
     }
 
@@ -392,33 +410,33 @@
         if (process == null || !process.isAlive()) {
             return;
         }
-        leaves = true;
-        history.add(History.What.LEAVES, slot.number(), start, "");
-        Process leaving = process;
-        leaving.toHandle().destroy();
-        leaving.onExit()
+        leaving = true;
+        history.add(History.EventType.LEAVES, slot.number(), incarnation, "");
+        Process exiting = process;
+        exiting.toHandle().destroy();
+        exiting.onExit()
                 .thenRun(
                         () -> {
-                            if (leaving != process) {
+                            if (exiting != process) {
                                 return;
                             }
-                            up = false;
-                            history.add(History.What.ENDED, slot.number(), start, "");
+                            ready = false;
+                            history.add(History.EventType.ENDED, slot.number(), incarnation, "");
                         });
     }
 
-    /** Waits until a process that was told to leave has ended. */
-    void awaitEnd() throws InterruptedException {
-        if (process != null && process.isAlive() && leaves) {
+    /** Waits at most 10 s for the exit of a process that was asked to leave. */
+    void awaitExit() throws InterruptedException {
+        if (process != null && process.isAlive() && leaving) {
             process.waitFor(10, TimeUnit.SECONDS);
         }
     }
 
     void close() throws IOException {
-        up = false;
+        ready = false;
         if (process != null) {
             process.destroyForcibly();
         }
-        outside.close();
+        services.close();
     }
 }
--- a/emulator/src/main/java/ochretiller/emulator/FleetSimulateCommand.java
+++ b/emulator/src/main/java/ochretiller/emulator/FleetSimulateCommand.java
@@ -25,13 +25,13 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Fleets in virtual time. Exit codes as those of {@link SimulateCommand}. */
+/** Commands that simulate fleets; their exit codes are those of {@link SimulateCommand}. */
 @Command(
         name = "fleet",
         mixinStandardHelpOptions = true,
         description = "Play faults on a fleet of servers and between them.")
 final class FleetSimulateCommand implements Runnable {
-    private static final int MISSED = 1;
+    private static final int EXIT_FAILED = 1;
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
@@ -54,43 +54,43 @@
                     Integer members)
             throws Exception {
         FleetScenario read = FleetScenarioReader.read(file);
-        FleetScenario script = members == null ? read : read.sized(members);
+        FleetScenario scenario = members == null ? read : read.withMembers(members);
         List<Callable<FleetOutcome>> runs = new ArrayList<>();
         for (int i = 0; i < seeds; i++) {
-            long each = seed + i;
-            runs.add(() -> new MembershipSimulation(script, each, true, 0).play());
+            long runSeed = seed + i;
+            runs.add(() -> new MembershipSimulation(scenario, runSeed, true, 0).run());
         }
-        int missed = 0;
-        int number = 0;
-        for (Future<FleetOutcome> each : all(runs)) {
-            FleetOutcome outcome = each.get();
+        int missedCount = 0;
+        int index = 0;
+        for (Future<FleetOutcome> future : submitAll(runs)) {
+            FleetOutcome outcome = future.get();
             System.out.printf(
                     Locale.ROOT,
                     "seed %d: settled %.1f s, verdicts %d, false %d, changes of one at most %d,"
                         + " known p50 %.0f p99 %.0f ms, packets a member a second %.1f, bytes %.0f,"
                         + " most packets %d, refuted %d of %d suspicions, twins %d%n",
-                    seed + number,
-                    outcome.settledS,
+                    seed + index,
+                    outcome.settleTimeS,
                     outcome.verdicts,
                     outcome.falseVerdicts,
-                    outcome.changesEach,
-                    outcome.knownMs(50),
-                    outcome.knownMs(99),
+                    outcome.maxVerdictsPerPair,
+                    outcome.detectionMs(50),
+                    outcome.detectionMs(99),
                     outcome.packets / outcome.memberSeconds,
                     outcome.bytes / outcome.memberSeconds,
-                    outcome.mostPackets,
-                    outcome.refuted,
-                    outcome.suspected,
-                    outcome.twins);
-            List<String> wrong = outcome.missed(script.expect());
-            for (String line : wrong) {
+                    outcome.maxPacketsPerSecond,
+                    outcome.refutations,
+                    outcome.suspicions,
+                    outcome.duplicateNames);
+            List<String> missedExpectations = outcome.unmetExpectations(scenario.expect());
+            for (String line : missedExpectations) {
                 System.out.println("  missed: " + line);
             }
             outcome.notes.forEach(line -> System.out.println("  " + line));
-            missed += wrong.size();
-            number++;
+            missedCount += missedExpectations.size();
+            index++;
         }
-        return missed == 0 ? 0 : MISSED;
+        return missedCount == 0 ? 0 : EXIT_FAILED;
     }
 
     @Command(
@@ -110,45 +110,51 @@
             throws Exception {
         List<Callable<FleetOutcome>> runs = new ArrayList<>();
         for (int i = 0; i < seeds; i++) {
-            long each = seed + i;
+            long runSeed = seed + i;
             runs.add(
                     () ->
-                            new MembershipSimulation(RandomScenarios.script(each, settled), each)
-                                    .play());
+                            new MembershipSimulation(
+                                            RandomScenarios.forMembership(runSeed, settled),
+                                            runSeed)
+                                    .run());
         }
-        List<Double> times = new ArrayList<>();
+        List<Double> settleTimesS = new ArrayList<>();
         int failed = 0;
-        int falsely = 0;
-        int number = 0;
-        for (Future<FleetOutcome> each : all(runs)) {
-            FleetOutcome outcome = each.get();
-            falsely += outcome.falseVerdicts;
-            times.add(outcome.settledS);
-            if (outcome.settledS > settled) {
+        int falseVerdicts = 0;
+        int index = 0;
+        for (Future<FleetOutcome> future : submitAll(runs)) {
+            FleetOutcome outcome = future.get();
+            falseVerdicts += outcome.falseVerdicts;
+            settleTimesS.add(outcome.settleTimeS);
+            if (outcome.settleTimeS > settled) {
                 failed++;
                 System.out.printf(
-                        Locale.ROOT, "seed %d: settled %.1f s%n", seed + number, outcome.settledS);
+                        Locale.ROOT,
+                        "seed %d: settled %.1f s%n",
+                        seed + index,
+                        outcome.settleTimeS);
                 outcome.notes.forEach(line -> System.out.println("  " + line));
             }
             if (seeds == 1) {
-                System.out.println(RandomScenarios.script(seed, settled) + "\n" + outcome.notes);
+                System.out.println(
+                        RandomScenarios.forMembership(seed, settled) + "\n" + outcome.notes);
             }
-            if (++number % 1000 == 0) {
-                System.err.println(number + " of " + seeds);
+            if (++index % 1000 == 0) {
+                System.err.println(index + " of " + seeds);
             }
         }
-        times.sort(null);
+        settleTimesS.sort(null);
         System.out.printf(
                 Locale.ROOT,
                 "%d schedules, %d unsettled; settled p50 %.1f s, p99 %.1f s, most %.1f s; %d false"
                         + " verdicts%n",
                 seeds,
                 failed,
-                times.get(seeds / 2),
-                times.get((int) Math.min(seeds - 1L, seeds * 99L / 100)),
-                times.get(seeds - 1),
-                falsely);
-        return failed == 0 ? 0 : MISSED;
+                settleTimesS.get(seeds / 2),
+                settleTimesS.get((int) Math.min(seeds - 1L, seeds * 99L / 100)),
+                settleTimesS.get(seeds - 1),
+                falseVerdicts);
+        return failed == 0 ? 0 : EXIT_FAILED;
     }
 
     @Command(
@@ -178,63 +184,65 @@
                             paramLabel = "SECONDS",
                             description =
                                     "From then on the servers claim no more, one after the other.")
-                    Double switchS,
+                    Double modeSwitchS,
             @Option(
                             names = "--server-mode",
                             description = "Each server for itself, as without a fleet.")
-                    boolean alone)
+                    boolean isServerMode)
             throws Exception {
         List<Callable<ReplicationSimulation.Outcomes>> runs = new ArrayList<>();
         for (int i = 0; i < seeds; i++) {
-            long each = seed + i;
+            long runSeed = seed + i;
             runs.add(
                     () ->
                             new ReplicationSimulation(
-                                            RandomScenarios.copies(each),
-                                            each,
-                                            each % 3 * 0.4,
-                                            each / 3 % 2 * oldDisks,
-                                            each % 4 == 0,
-                                            !alone)
+                                            RandomScenarios.forReplication(runSeed),
+                                            runSeed,
+                                            runSeed % 3 * 0.4,
+                                            runSeed / 3 % 2 * oldDisks,
+                                            runSeed % 4 == 0,
+                                            !isServerMode)
                                     .trace(trace)
-                                    .switching(
-                                            switchS == null ? Double.NEGATIVE_INFINITY : switchS,
-                                            each % 5 * 0.5)
-                                    .play(tokens, 25));
+                                    .withModeSwitch(
+                                            modeSwitchS == null
+                                                    ? Double.NEGATIVE_INFINITY
+                                                    : modeSwitchS,
+                                            runSeed % 5 * 0.5)
+                                    .run(tokens, 25));
         }
-        ReplicationSimulation.Outcomes all = new ReplicationSimulation.Outcomes();
-        int broken = 0;
-        int number = 0;
-        for (Future<ReplicationSimulation.Outcomes> each : all(runs)) {
-            ReplicationSimulation.Outcomes one = each.get();
-            all.tries += one.tries;
-            all.succeeded += one.succeeded;
-            all.replayed += one.replayed;
-            all.throttled += one.throttled;
-            all.errored += one.errored;
-            all.otherBody += one.otherBody;
-            all.unanswered += one.unanswered;
-            all.runs += one.runs;
-            all.conflicts += one.conflicts;
-            all.oldFound += one.oldFound;
-            all.unclaimed += one.unclaimed;
-            all.excused += one.excused;
-            all.oldPutBack += one.oldPutBack;
-            all.unsaid += one.unsaid;
-            all.messages += one.messages;
-            all.epochs = Math.max(all.epochs, one.epochs);
-            all.claimMs.addAll(one.claimMs);
-            if (!one.broken.isEmpty() && broken++ < 10) {
+        ReplicationSimulation.Outcomes total = new ReplicationSimulation.Outcomes();
+        int brokenCount = 0;
+        int index = 0;
+        for (Future<ReplicationSimulation.Outcomes> future : submitAll(runs)) {
+            ReplicationSimulation.Outcomes outcomes = future.get();
+            total.attempts += outcomes.attempts;
+            total.succeeded += outcomes.succeeded;
+            total.replayed += outcomes.replayed;
+            total.throttled += outcomes.throttled;
+            total.errored += outcomes.errored;
+            total.fingerprintMismatches += outcomes.fingerprintMismatches;
+            total.unanswered += outcomes.unanswered;
+            total.runs += outcomes.runs;
+            total.conflicts += outcomes.conflicts;
+            total.staleDisksFound += outcomes.staleDisksFound;
+            total.runsWithoutClaim += outcomes.runsWithoutClaim;
+            total.excusedReruns += outcomes.excusedReruns;
+            total.staleDisksRestored += outcomes.staleDisksRestored;
+            total.droppedSends += outcomes.droppedSends;
+            total.messages += outcomes.messages;
+            total.highestEpoch = Math.max(total.highestEpoch, outcomes.highestEpoch);
+            total.claimLatencyMs.addAll(outcomes.claimLatencyMs);
+            if (!outcomes.violations.isEmpty() && brokenCount++ < 10) {
                 System.out.println(
                         "seed "
-                                + (seed + number)
+                                + (seed + index)
                                 + ": "
-                                + one.broken.get(0)
-                                + (one.broken.size() > 1
-                                        ? " and " + (one.broken.size() - 1) + " more"
+                                + outcomes.violations.get(0)
+                                + (outcomes.violations.size() > 1
+                                        ? " and " + (outcomes.violations.size() - 1) + " more"
                                         : ""));
             }
-            number++;
+            index++;
         }
         System.out.printf(
                 Locale.ROOT,
@@ -244,25 +252,25 @@
                     + " servers that found one %d, words unsaid %d; second runs where a majority"
                     + " lost its disks %d, runs without a claim %d%n",
                 seeds,
-                broken,
-                all.tries,
-                all.succeeded,
-                all.replayed,
-                all.throttled,
-                all.errored,
-                all.otherBody,
-                all.unanswered,
-                all.runs,
-                all.conflicts,
-                all.epochs,
-                all.claimMs(50),
-                all.claimMs(99),
-                all.oldPutBack,
-                all.oldFound,
-                all.unsaid,
-                all.excused,
-                all.unclaimed);
-        return broken == 0 ? 0 : MISSED;
+                brokenCount,
+                total.attempts,
+                total.succeeded,
+                total.replayed,
+                total.throttled,
+                total.errored,
+                total.fingerprintMismatches,
+                total.unanswered,
+                total.runs,
+                total.conflicts,
+                total.highestEpoch,
+                total.claimLatencyMs(50),
+                total.claimLatencyMs(99),
+                total.staleDisksRestored,
+                total.staleDisksFound,
+                total.droppedSends,
+                total.excusedReruns,
+                total.runsWithoutClaim);
+        return brokenCount == 0 ? 0 : EXIT_FAILED;
     }
 
     @Command(
@@ -299,93 +307,96 @@
             @Option(names = "--harmful", defaultValue = "0.3", description = "Share of them.")
                     double harmful,
             @Option(names = "--no-faults", description = "The same fleets without any fault.")
-                    boolean calm,
+                    boolean withoutFaults,
             @Option(
                             names = "--no-leases",
                             description = "Servers heed no lease: stragglers have to be seen.")
-                    boolean open)
+                    boolean withoutLeases)
             throws Exception {
         List<Callable<RolloutSimulation.Outcomes>> runs = new ArrayList<>();
         for (int i = 0; i < seeds; i++) {
-            long each = seed + i;
+            long runSeed = seed + i;
             runs.add(
                     () -> {
-                        FleetScenario drawn = RandomScenarios.copies(each);
-                        FleetScenario script =
-                                calm
+                        FleetScenario randomScenario = RandomScenarios.forReplication(runSeed);
+                        FleetScenario scenario =
+                                withoutFaults
                                         ? new FleetScenario(
-                                                drawn.name(),
-                                                drawn.seconds(),
-                                                drawn.members(),
-                                                drawn.zones(),
-                                                drawn.seeds(),
-                                                drawn.startS(),
-                                                drawn.probeMs(),
-                                                drawn.delayMs(),
-                                                drawn.jitterMs(),
+                                                randomScenario.name(),
+                                                randomScenario.seconds(),
+                                                randomScenario.members(),
+                                                randomScenario.zones(),
+                                                randomScenario.seeds(),
+                                                randomScenario.startS(),
+                                                randomScenario.probeMs(),
+                                                randomScenario.delayMs(),
+                                                randomScenario.jitterMs(),
                                                 true,
                                                 true,
-                                                drawn.load(),
+                                                randomScenario.load(),
                                                 List.of(),
-                                                drawn.expect())
-                                        : drawn;
-                        return new RolloutSimulation(script, each, !open).play(publish, harmful);
+                                                randomScenario.expect())
+                                        : randomScenario;
+                        return new RolloutSimulation(scenario, runSeed, !withoutLeases)
+                                .run(publish, harmful);
                     });
         }
-        RolloutSimulation.Outcomes all = new RolloutSimulation.Outcomes();
+        RolloutSimulation.Outcomes total = new RolloutSimulation.Outcomes();
         List<Double> settled = new ArrayList<>();
-        int broken = 0;
-        int unsettled = 0;
-        int number = 0;
-        for (Future<RolloutSimulation.Outcomes> each : all(runs)) {
-            RolloutSimulation.Outcomes one = each.get();
-            all.published += one.published;
-            all.harmless += one.harmless;
-            all.harmlessStopped += one.harmlessStopped;
-            all.harmfulOnes += one.harmfulOnes;
-            all.harmfulStopped += one.harmfulStopped;
-            all.stoppedEarly += one.stoppedEarly;
-            all.runs += one.runs;
-            all.refusedRuns += one.refusedRuns;
-            all.rolloutS.addAll(one.rolloutS);
-            settled.add(one.settledS);
-            if (Double.isInfinite(one.settledS) && unsettled++ < 5) {
-                System.out.println("seed " + (seed + number) + ": " + one.notes);
+        int brokenCount = 0;
+        int unsettledCount = 0;
+        int index = 0;
+        for (Future<RolloutSimulation.Outcomes> future : submitAll(runs)) {
+            RolloutSimulation.Outcomes outcomes = future.get();
+            total.publishedVersions += outcomes.publishedVersions;
+            total.harmlessVersions += outcomes.harmlessVersions;
+            total.stoppedHarmlessVersions += outcomes.stoppedHarmlessVersions;
+            total.harmfulVersions += outcomes.harmfulVersions;
+            total.stoppedHarmfulVersions += outcomes.stoppedHarmfulVersions;
+            total.harmfulVersionsStoppedEarly += outcomes.harmfulVersionsStoppedEarly;
+            total.runs += outcomes.runs;
+            total.runsWithoutLease += outcomes.runsWithoutLease;
+            total.rolloutDurationsS.addAll(outcomes.rolloutDurationsS);
+            settled.add(outcomes.settleTimeS);
+            if (Double.isInfinite(outcomes.settleTimeS) && unsettledCount++ < 5) {
+                System.out.println("seed " + (seed + index) + ": " + outcomes.notes);
             }
-            if (!one.broken.isEmpty() && broken++ < 10) {
+            if (!outcomes.violations.isEmpty() && brokenCount++ < 10) {
                 System.out.println(
                         "seed "
-                                + (seed + number)
+                                + (seed + index)
                                 + ": "
-                                + one.broken.get(0)
-                                + (one.broken.size() > 1
-                                        ? " and " + (one.broken.size() - 1) + " more"
+                                + outcomes.violations.get(0)
+                                + (outcomes.violations.size() > 1
+                                        ? " and " + (outcomes.violations.size() - 1) + " more"
                                         : ""));
             }
-            number++;
+            index++;
         }
         settled.sort(null);
-        all.rolloutS.sort(null);
+        total.rolloutDurationsS.sort(null);
         System.out.printf(
                 Locale.ROOT,
                 "%d schedules, %d broken, %d unsettled: %d versions, harmless %d of which stopped"
                     + " %d, harmful %d of which stopped %d, %d before all acted on them; keyed runs"
                     + " %d, shut out %d; settled p50 %.1f p99 %.1f s; a rollout p50 %.1f s%n",
                 seeds,
-                broken,
-                unsettled,
-                all.published,
-                all.harmless,
-                all.harmlessStopped,
-                all.harmfulOnes,
-                all.harmfulStopped,
-                all.stoppedEarly,
-                all.runs,
-                all.refusedRuns,
+                brokenCount,
+                unsettledCount,
+                total.publishedVersions,
+                total.harmlessVersions,
+                total.stoppedHarmlessVersions,
+                total.harmfulVersions,
+                total.stoppedHarmfulVersions,
+                total.harmfulVersionsStoppedEarly,
+                total.runs,
+                total.runsWithoutLease,
                 settled.get(seeds / 2),
                 settled.get(seeds * 99 / 100),
-                all.rolloutS.isEmpty() ? Double.NaN : all.rolloutS.get(all.rolloutS.size() / 2));
-        return broken + unsettled == 0 ? 0 : MISSED;
+                total.rolloutDurationsS.isEmpty()
+                        ? Double.NaN
+                        : total.rolloutDurationsS.get(total.rolloutDurationsS.size() / 2));
+        return brokenCount + unsettledCount == 0 ? 0 : EXIT_FAILED;
     }
 
     @Command(
@@ -429,7 +440,7 @@
                             description = "With a planted fault, which has to be found.")
                     boolean planted)
             throws Exception {
-        StateSpaceExplorer.Found found =
+        StateSpaceExplorer.Result result =
                 new StateSpaceExplorer(
                                 () ->
                                         claims
@@ -442,16 +453,19 @@
                 "%s, %d crashes: depth %d whole, %d states, %d steps, settles within %d steps%s%n",
                 claims ? "claims" : members + " members",
                 crashes,
-                found.depth(),
-                found.states(),
-                found.edges(),
-                found.worstSettles(),
-                found.broken() == null ? "; nothing broken" : "; BROKEN: " + found.broken());
-        return found.broken() == null ? 0 : MISSED;
+                result.depth(),
+                result.states(),
+                result.transitions(),
+                result.maxRoundsToSettle(),
+                result.violation() == null
+                        ? "; nothing broken"
+                        : "; BROKEN: " + result.violation());
+        return result.violation() == null ? 0 : EXIT_FAILED;
     }
 
-    private static <T> List<Future<T>> all(List<Callable<T>> runs) throws InterruptedException {
-        ExecutorService threads =
+    private static <T> List<Future<T>> submitAll(List<Callable<T>> runs)
+            throws InterruptedException {
+        ExecutorService executor =
                 Executors.newFixedThreadPool(
                         Runtime.getRuntime().availableProcessors(),
                         work -> {
@@ -460,8 +474,8 @@
                             return thread;
                         });
         List<Future<T>> futures = new ArrayList<>();
-        for (Callable<T> each : runs) {
-            futures.add(threads.submit(each));
+        for (Callable<T> task : runs) {
+            futures.add(executor.submit(task));
         }
         return futures;
     }
--- a/emulator/src/main/java/ochretiller/emulator/fleet/StateModel.java
+++ b/emulator/src/main/java/ochretiller/emulator/fleet/StateModel.java
@@ -1,22 +1,22 @@
 package ochretiller.emulator.fleet;
 
 /**
- * A small world whose orders of events are all explored: made anew, and led along a path of
- * actions.
+ * A small system whose orders of events are explored exhaustively. Each state is reached by
+ * creating a new model and performing a path of actions on it.
  */
 public interface StateModel {
-    /** Actions that may be tried now, numbered from 0; some of them may turn out to be none. */
-    int actions();
+    /** Number of actions in this state, numbered from 0; some of them may not be possible. */
+    int actionCount();
 
-    /** Does one; false where there is no such action now. */
-    boolean act(int action);
+    /** Performs an action; returns false if it is not possible in this state. */
+    boolean perform(int action);
 
-    /** Equal where two states go on alike. */
+    /** Returns a hash that is equal for states that behave the same from then on. */
     long fingerprint();
 
-    /** What rule is broken in this state, or null. */
-    String broken();
+    /** The rule that this state violates, or null. */
+    String violation();
 
-    /** With all faults gone: steps until all is well, or -1 where it never is. */
-    int settles();
+    /** Continues without faults; returns the steps until the model settles, -1 if it does not. */
+    int roundsToSettle();
 }
--- a/emulator/src/main/java/ochretiller/emulator/simulation/ClientRequest.java
+++ b/emulator/src/main/java/ochretiller/emulator/simulation/ClientRequest.java
@@ -4,57 +4,61 @@
 import ochretiller.emulator.scenario.Scenario;
 import ochretiller.model.Operation;
 
-/** What one caller wants, over all its tries. */
+/** A request of a client, with all its attempts. */
 final class ClientRequest {
-    /** How it ended for the caller. */
-    enum End {
+    /** The result for the client. */
+    enum Outcome {
         SUCCEEDED,
         THROTTLED,
         ERRORED,
         TIMED_OUT
     }
 
-    final Scenario.Operation plan;
+    final Scenario.Operation spec;
     final Operation operation;
     final String token;
     final long caller;
-    final double work;
-    final double askedAt;
-    final double dueAt;
-    private final Consumer<End> then;
-    int tries;
-    int throttled;
-    boolean over;
-    EmulatedServer at;
+    final double workSeconds;
+    final double sentAt;
+    final double deadline;
+    private final Consumer<Outcome> onEnd;
 
-    /** Where the last try failed: the next goes elsewhere where there is a choice. */
-    EmulatedServer not;
+    /** Attempts made so far, including those for which no server was known. */
+    int attempts;
 
-    RequestAttempt message;
+    int throttledAttempts;
+    boolean ended;
+    EmulatedServer server;
+
+    /** Server of the failed last attempt, which the next one avoids if it can; may be null. */
+    EmulatedServer avoidedServer;
+
+    RequestAttempt lastAttempt;
 
     ClientRequest(
-            Scenario.Operation plan,
+            Scenario.Operation spec,
             Operation operation,
             String token,
             long caller,
-            double work,
-            double askedAt,
-            Consumer<End> then) {
-        this.plan = plan;
+            double workSeconds,
+            double sentAt,
+            Consumer<Outcome> onEnd) {
+        this.spec = spec;
         this.operation = operation;
         this.token = token;
         this.caller = caller;
-        this.work = work;
-        this.askedAt = askedAt;
-        this.dueAt = askedAt + plan.timeoutMs() / 1e3;
-        this.then = then;
+        this.workSeconds = workSeconds;
+        this.sentAt = sentAt;
+        this.deadline = sentAt + spec.timeoutMs() / 1e3;
+        this.onEnd = onEnd;
     }
 
-    void ends(End end) {
-        if (over) {
+    /** Ends the request; later calls have no effect. */
+    void end(Outcome outcome) {
+        if (ended) {
             return;
         }
-        over = true;
-        then.accept(end);
+        ended = true;
+        onEnd.accept(outcome);
     }
 }
--- a/emulator/src/main/java/ochretiller/emulator/simulation/Simulation.java
+++ b/emulator/src/main/java/ochretiller/emulator/simulation/Simulation.java
@@ -18,68 +18,70 @@
 import ochretiller.settings.SettingLookup;
 
 /**
- * All of one run: what there is, and what befalls it. One thread; the same script and seed give the
- * same run.
+ * Simulates one run of a scenario: its servers, gateways, records service and clients, and its
+ * incidents. Runs on one thread; the same scenario and seed give the same results.
  */
 public final class Simulation {
-    /**
-     * Time behind the last arrival in which all must come to its end: beyond the longest client
-     * timeout.
-     */
-    private static final double AFTER_S = 2;
+    /** Extra seconds after the last possible timeout, by when every request must have ended. */
+    private static final double SETTLE_S = 2;
 
     final EventQueue events = new EventQueue();
-    final RandomStreams seeds;
-    final Scenario script;
+    final RandomStreams randomStreams;
+    final Scenario scenario;
     final RuleChecker rules = new RuleChecker();
     final Map<String, Operation> operations = new LinkedHashMap<>();
     private final SettingLookup settings;
-    private final List<EmulatedServer> boxes = new ArrayList<>();
-    private final Map<Integer, Integer> lives = new HashMap<>();
-    private final List<DurableStorageModel> disks = new ArrayList<>();
+    private final List<EmulatedServer> servers = new ArrayList<>();
+    private final Map<Integer, Integer> incarnations = new HashMap<>();
+
+    /** By server index; null if nothing survives a restart. */
+    private final List<DurableStorageModel> storages = new ArrayList<>();
+
     private final List<GatewayModel> gateways = new ArrayList<>();
-    private final RecordsServiceModel ledger;
-    private final SplittableRandom delays;
-    private final SplittableRandom ledgerDelays;
-    private final SplittableRandom arrivals;
-    private final SplittableRandom returns;
-    private final Map<EmulatedServer, boolean[]> seen = new HashMap<>();
-    private final SimulationResult outcome;
-    private double rate = 1;
-
-    /** Boxes of lower place are cut off. */
-    private int cut;
-
-    private long ids;
-    private long tokens;
-
-    public Simulation(Scenario script, long seed) {
-        this.script = script;
-        this.seeds = new RandomStreams(seed);
-        this.outcome = new SimulationResult(script);
-        this.ledger = new RecordsServiceModel(events, script.ledger(), seeds.of("ledger"));
-        this.delays = seeds.of("network");
-        this.ledgerDelays = seeds.of("network to the ledger");
-        this.arrivals = seeds.of("arrivals");
-        this.returns = seeds.of("returns");
-        for (Scenario.Operation each : script.operations()) {
+    private final RecordsServiceModel records;
+    private final SplittableRandom delayRandom;
+    private final SplittableRandom recordsServiceDelayRandom;
+    private final SplittableRandom arrivalRandom;
+    private final SplittableRandom returnRandom;
+    private final Map<EmulatedServer, boolean[]> observedHealth = new HashMap<>();
+    private final SimulationResult result;
+    private double rateFactor = 1;
+
+    /** Servers with a lower index are disconnected from the gateways. */
+    private int disconnectedBelow;
+
+    private long lastId;
+    private long lastToken;
+
+    /** Creates a simulation that can be run once. */
+    public Simulation(Scenario scenario, long seed) {
+        this.scenario = scenario;
+        this.randomStreams = new RandomStreams(seed);
+        this.result = new SimulationResult(scenario);
+        this.records =
+                new RecordsServiceModel(events, scenario.ledger(), randomStreams.stream("ledger"));
+        this.delayRandom = randomStreams.stream("network");
+        this.recordsServiceDelayRandom = randomStreams.stream("network to the ledger");
+        this.arrivalRandom = randomStreams.stream("arrivals");
+        this.returnRandom = randomStreams.stream("returns");
+        for (Scenario.Operation spec : scenario.operations()) {
             operations.put(
-                    each.name(),
+                    spec.name(),
                     new Operation(
-                            each.name(),
-                            effect(each.effect()),
-                            millis(each.objectiveMs()),
-                            millis(each.timeoutMs()),
-                            each.value(),
-                            each.lateShare(),
-                            millis(each.windowMs()),
-                            each.calls(),
+                            spec.name(),
+                            toSideEffect(spec.effect()),
+                            millis(spec.objectiveMs()),
+                            millis(spec.timeoutMs()),
+                            spec.value(),
+                            spec.lateShare(),
+                            millis(spec.windowMs()),
+                            spec.calls(),
                             0));
         }
-        this.settings = settings();
+        this.settings = serverSettings();
     }
 
-    private static SideEffect effect(String name) {
+    private static SideEffect toSideEffect(String name) {
         return switch (name) {
             case "idempotent" -> SideEffect.IDEMPOTENT;
             case "tokened" -> SideEffect.KEYED;
@@ -92,19 +94,19 @@
     }
 
     /**
-     * What an installation of this kind would have in its configuration, and over it what the
-     * script says.
+     * Returns the settings that a server of such a fleet would have, overridden by the settings of
+     * the scenario.
      */
-    private SettingLookup settings() {
-        Scenario.Fleet fleet = script.fleet();
+    private SettingLookup serverSettings() {
+        Scenario.Fleet fleet = scenario.fleet();
         Map<String, String> values = new HashMap<>();
         values.put("familyInfo.cpus", "" + fleet.cores());
         values.put("familyInfo.memoryKb", "" + fleet.memoryKb());
         values.put("familyInfo.runFactor", "" + fleet.runFactor());
         values.put("familyInfo.keyKb", "" + fleet.keyKb());
-        values.put("familyInfo.callers", "" + script.gateways().count());
+        values.put("familyInfo.callers", "" + scenario.gateways().count());
         values.put("familyInfo.halt", "abort");
-        values.put("familyInfo.callsOut", "" + (double) script.ledger().slots() / fleet.boxes());
+        values.put("familyInfo.callsOut", "" + (double) scenario.ledger().slots() / fleet.boxes());
         values.put("familyInfo.shareSpanNs", "1000000000");
         values.put("peersTotal", "" + fleet.boxes());
         values.put("guarantees.fallMultiple", "" + fleet.fallsAt());
@@ -113,300 +115,347 @@
         values.put("guarantees.stopSendingWithinNs", "" + (long) (fleet.graceS() * 1e9));
         values.put("permissions.retryAfter", "true");
         values.put("permissions.maxRetryAfterNs", "2000000000");
-        values.putAll(script.settings());
+        values.putAll(scenario.settings());
         return values::get;
     }
 
-    /** Seconds since its start. */
-    public double time() {
-        return events.seconds();
+    /** Returns the virtual time since the start, seconds. */
+    public double nowSeconds() {
+        return events.nowSeconds();
     }
 
-    /** Plays it to its end. */
-    public SimulationResult play() {
-        int places = script.fleet().boxes();
-        for (int place = 0; place < places; place++) {
-            disks.add(
-                    script.fleet().remembers()
-                            ? new DurableStorageModel(events, script.fleet().forceMs() / 1e3)
+    /** Runs the simulation until all requests have ended and returns its results. */
+    public SimulationResult run() {
+        int serverCount = scenario.fleet().boxes();
+        for (int index = 0; index < serverCount; index++) {
+            storages.add(
+                    scenario.fleet().remembers()
+                            ? new DurableStorageModel(events, scenario.fleet().forceMs() / 1e3)
                             : null);
-            boxes.add(box(place, false));
+            servers.add(newServer(index, false));
         }
-        ServiceDirectory first = new ServiceDirectory(boxes);
-        for (int i = 0; i < script.gateways().count(); i++) {
-            gateways.add(new GatewayModel(this, i, first));
+        ServiceDirectory directory = new ServiceDirectory(servers);
+        for (int i = 0; i < scenario.gateways().count(); i++) {
+            gateways.add(new GatewayModel(this, i, directory));
         }
-        look();
-        for (int i = 0; i < script.incidents().size(); i++) {
-            Scenario.Incident incident = script.incidents().get(i);
-            SplittableRandom chance = seeds.of("incident " + i);
-            events.after(incident.atS(), () -> happens(incident, chance));
+        observeHealth();
+        for (int i = 0; i < scenario.incidents().size(); i++) {
+            Scenario.Incident incident = scenario.incidents().get(i);
+            SplittableRandom random = randomStreams.stream("incident " + i);
+            events.schedule(incident.atS(), () -> applyIncident(incident, random));
         }
-        arrives();
-        sample();
-        double longest =
-                script.operations().stream()
+        scheduleNextRequest();
+        recordSample();
+        double maxWait =
+                scenario.operations().stream()
                                 .mapToDouble(Scenario.Operation::timeoutMs)
                                 .max()
                                 .orElse(0)
                         / 1e3;
-        double back =
-                script.operations().stream().mapToDouble(Scenario.Operation::backS).max().orElse(0);
-        events.run(script.seconds() + 2 * longest + back + AFTER_S + script.fleet().stopS());
-        rules.over(events.seconds());
-        outcome.over(rules, events.done(), ledger.calls(), ledger.falls());
-        return outcome;
+        double maxReturn =
+                scenario.operations().stream()
+                        .mapToDouble(Scenario.Operation::backS)
+                        .max()
+                        .orElse(0);
+        events.runUntil(
+                scenario.seconds() + 2 * maxWait + maxReturn + SETTLE_S + scenario.fleet().stopS());
+        rules.finish(events.nowSeconds());
+        result.finish(
+                rules, events.executedEvents(), records.callCount(), records.overloadOutages());
+        return result;
     }
 
-    private EmulatedServer box(int place, boolean cold) {
-        int life = lives.merge(place, 1, Integer::sum) - 1;
-        return new EmulatedServer(this, place, life, settings, cold, disks.get(place));
+    private EmulatedServer newServer(int index, boolean cold) {
+        int incarnation = incarnations.merge(index, 1, Integer::sum) - 1;
+        return new EmulatedServer(this, index, incarnation, settings, cold, storages.get(index));
     }
 
     long nextId() {
-        return ++ids;
+        return ++lastId;
     }
 
     /**
-     * Something goes from a gateway to a box or back; what is cut off comes late or never, as a
-     * lost packet's sender sees it.
+     * Delivers a message between a gateway and a server after the network delay. A message from or
+     * to a disconnected server is lost without notice to its sender.
      */
-    void travel(EmulatedServer box, Runnable then) {
-        double span =
-                (script.network().delayMs() + script.network().jitterMs() * delays.nextDouble())
+    void transmit(EmulatedServer server, Runnable onArrival) {
+        double delay =
+                (scenario.network().delayMs()
+                                + scenario.network().jitterMs() * delayRandom.nextDouble())
                         / 1e3;
-        if (box.place < cut) {
+        if (server.index < disconnectedBelow) {
             return;
         }
-        events.after(span, then);
+        events.schedule(delay, onArrival);
     }
 
-    void toLedger(Consumer<CallOutcome.Status> then) {
-        double there =
-                (script.network().delayMs()
-                                + script.network().jitterMs() * ledgerDelays.nextDouble())
+    /** Calls the records service; the network delay is the same in both directions. */
+    void callRecordsService(Consumer<CallOutcome.Status> onOutcome) {
+        double delay =
+                (scenario.network().delayMs()
+                                + scenario.network().jitterMs()
+                                        * recordsServiceDelayRandom.nextDouble())
                         / 1e3;
-        events.after(
-                there, () -> ledger.call(result -> events.after(there, () -> then.accept(result))));
+        events.schedule(
+                delay,
+                () ->
+                        records.call(
+                                status -> events.schedule(delay, () -> onOutcome.accept(status))));
     }
 
-    /** Health as it was last looked at. */
-    boolean seenHealthy(EmulatedServer box) {
-        boolean[] was = seen.get(box);
-        return was == null || was[0];
+    /** Returns the result of the last health check, true if there was none yet. */
+    boolean isObservedHealthy(EmulatedServer server) {
+        boolean[] healthy = observedHealth.get(server);
+        return healthy == null || healthy[0];
     }
 
-    private void look() {
-        for (EmulatedServer box : boxes) {
-            seen.computeIfAbsent(box, b -> new boolean[1])[0] =
-                    box.state == EmulatedServer.State.UP && box.healthy && box.place >= cut;
+    private void observeHealth() {
+        for (EmulatedServer server : servers) {
+            observedHealth.computeIfAbsent(server, key -> new boolean[1])[0] =
+                    server.state == EmulatedServer.State.UP
+                            && server.healthy
+                            && server.index >= disconnectedBelow;
         }
-        seen.keySet().retainAll(boxes);
-        events.after(script.gateways().healthMs() / 1e3, this::look);
+        observedHealth.keySet().retainAll(servers);
+        events.schedule(scenario.gateways().healthMs() / 1e3, this::observeHealth);
     }
 
-    // Arrivals.
+    // Client requests.
 
-    private void arrives() {
-        double gap = RandomStreams.exponential(arrivals, 1 / script.traffic().perSecond());
-        // A burst draws no more chance than a calm spell does, so that two runs differ by the burst
-        // alone.
-        events.after(
-                gap / rate,
+    private void scheduleNextRequest() {
+        double gap = RandomStreams.exponential(arrivalRandom, 1 / scenario.traffic().perSecond());
+        // A burst scales the gap instead of drawing more random numbers, so that runs with and
+        // without it stay comparable.
+        events.schedule(
+                gap / rateFactor,
                 () -> {
-                    if (events.seconds() >= script.seconds()) {
+                    if (events.nowSeconds() >= scenario.seconds()) {
                         return;
                     }
-                    ask();
-                    arrives();
+                    sendNewRequest();
+                    scheduleNextRequest();
                 });
     }
 
-    private void ask() {
-        Scenario.Operation plan = script.at(arrivals.nextDouble());
-        int callers = script.traffic().callers();
-        boolean loud = arrivals.nextDouble() < script.traffic().skew();
+    private void sendNewRequest() {
+        Scenario.Operation spec = scenario.operationAt(arrivalRandom.nextDouble());
+        int callerCount = scenario.traffic().callers();
+        boolean fromHeavyCaller = arrivalRandom.nextDouble() < scenario.traffic().skew();
         long caller =
-                loud ? arrivals.nextInt(Math.max(1, callers / 10)) : arrivals.nextInt(callers);
-        double work = RandomStreams.around(arrivals, plan.workMs() / 1e3, plan.spread());
-        boolean comesBack = arrivals.nextDouble() < plan.repeats();
-        double back = arrivals.nextDouble() * plan.backS();
-        Operation operation = operations.get(plan.name());
-        String token = operation.isKeyed() ? "t" + ++tokens : null;
-        send(plan, operation, token, caller, work, comesBack ? back : -1, true);
+                fromHeavyCaller
+                        ? arrivalRandom.nextInt(Math.max(1, callerCount / 10))
+                        : arrivalRandom.nextInt(callerCount);
+        double work = RandomStreams.logNormal(arrivalRandom, spec.workMs() / 1e3, spec.spread());
+        boolean returnsAfterFailure = arrivalRandom.nextDouble() < spec.repeats();
+        double returnDelay = arrivalRandom.nextDouble() * spec.backS();
+        Operation operation = operations.get(spec.name());
+        String token = operation.isKeyed() ? "t" + ++lastToken : null;
+        send(spec, operation, token, caller, work, returnsAfterFailure ? returnDelay : -1, true);
     }
 
     private void send(
-            Scenario.Operation plan,
+            Scenario.Operation spec,
             Operation operation,
             String token,
             long caller,
             double work,
-            double back,
+            double returnDelay,
             boolean first) {
-        double at = events.seconds();
-        ClientRequest[] made = new ClientRequest[1];
-        made[0] =
+        double sentAt = events.nowSeconds();
+        ClientRequest[] request = new ClientRequest[1];
+        request[0] =
                 new ClientRequest(
-                        plan,
+                        spec,
                         operation,
                         token,
                         caller,
                         work,
-                        at,
-                        end -> {
-                            outcome.ended(
-                                    plan, caller, at, events.seconds(), end, made[0].tries, first);
-                            if (end != ClientRequest.End.SUCCEEDED && token != null && back >= 0) {
-                                events.after(
-                                        back,
+                        sentAt,
+                        requestOutcome -> {
+                            result.countOutcome(
+                                    spec,
+                                    caller,
+                                    sentAt,
+                                    events.nowSeconds(),
+                                    requestOutcome,
+                                    request[0].attempts,
+                                    first);
+                            if (requestOutcome != ClientRequest.Outcome.SUCCEEDED
+                                    && token != null
+                                    && returnDelay >= 0) {
+                                events.schedule(
+                                        returnDelay,
                                         () ->
                                                 send(
-                                                        plan, operation, token, caller, work, -1,
+                                                        spec, operation, token, caller, work, -1,
                                                         false));
                             }
                         });
-        outcome.asked(plan, caller, at, first);
-        gateways.get((int) (caller % gateways.size())).send(made[0]);
+        result.countRequests(spec, caller, sentAt, first);
+        gateways.get((int) (caller % gateways.size())).send(request[0]);
     }
 
     // Incidents.
 
-    private List<EmulatedServer> some(double share, SplittableRandom chance) {
-        List<EmulatedServer> all = new ArrayList<>(boxes);
-        int count = (int) Math.ceil(share * script.fleet().boxes());
-        for (int i = all.size() - 1; i > 0; i--) {
-            int other = chance.nextInt(i + 1);
-            EmulatedServer kept = all.get(i);
-            all.set(i, all.get(other));
-            all.set(other, kept);
+    private List<EmulatedServer> pickServers(double share, SplittableRandom random) {
+        List<EmulatedServer> shuffled = new ArrayList<>(servers);
+        int count = (int) Math.ceil(share * scenario.fleet().boxes());
+        for (int i = shuffled.size() - 1; i > 0; i--) {
+            int j = random.nextInt(i + 1);
+            EmulatedServer swapped = shuffled.get(i);
+            shuffled.set(i, shuffled.get(j));
+            shuffled.set(j, swapped);
         }
-        return all.subList(0, Math.min(count, all.size()));
+        return shuffled.subList(0, Math.min(count, shuffled.size()));
     }
 
-    private void happens(Scenario.Incident incident, SplittableRandom chance) {
-        List<EmulatedServer> some = some(incident.share(), chance);
+    private void applyIncident(Scenario.Incident incident, SplittableRandom random) {
+        List<EmulatedServer> affected = pickServers(incident.share(), random);
         switch (incident.what()) {
-            case "die" -> some.forEach(box -> dies(box, incident.forS()));
+            case "die" -> affected.forEach(server -> crash(server, incident.forS()));
             case "pause" ->
-                    during(
+                    applyDuring(
                             incident,
-                            () -> some.forEach(box -> box.pause(true)),
-                            () -> some.forEach(box -> box.pause(false)));
+                            () -> affected.forEach(server -> server.setPaused(true)),
+                            () -> affected.forEach(server -> server.setPaused(false)));
             case "slow" ->
-                    during(
+                    applyDuring(
                             incident,
-                            () -> some.forEach(box -> box.slow(incident.strength())),
-                            () -> some.forEach(box -> box.slow(1)));
+                            () ->
+                                    affected.forEach(
+                                            server -> server.setSlowdown(incident.strength())),
+                            () -> affected.forEach(server -> server.setSlowdown(1)));
             case "fail" ->
-                    during(
+                    applyDuring(
                             incident,
-                            () -> some.forEach(box -> box.fail(Math.min(1, incident.strength()))),
-                            () -> some.forEach(box -> box.fail(0)));
+                            () ->
+                                    affected.forEach(
+                                            server ->
+                                                    server.fail(Math.min(1, incident.strength()))),
+                            () -> affected.forEach(server -> server.fail(0)));
             case "release" -> {
-                for (int i = 0; i < some.size(); i++) {
-                    EmulatedServer box = some.get(i);
-                    events.after(incident.forS() * i / some.size(), () -> release(box));
+                for (int i = 0; i < affected.size(); i++) {
+                    EmulatedServer server = affected.get(i);
+                    events.schedule(
+                            incident.forS() * i / affected.size(), () -> drainAndReplace(server));
                 }
             }
             case "burst" ->
-                    during(
+                    applyDuring(
                             incident,
-                            () -> rate *= incident.strength(),
-                            () -> rate /= incident.strength());
+                            () -> rateFactor *= incident.strength(),
+                            () -> rateFactor /= incident.strength());
             case "ledger-slow" ->
-                    during(incident, () -> ledger.slow(incident.strength()), () -> ledger.slow(1));
-            case "ledger-down" -> ledger.down(incident.forS());
+                    applyDuring(
+                            incident,
+                            () -> records.setSlowdown(incident.strength()),
+                            () -> records.setSlowdown(1));
+            case "ledger-down" -> records.goDown(incident.forS());
             case "cut" ->
-                    during(
+                    applyDuring(
                             incident,
-                            () -> cut = (int) Math.ceil(incident.share() * script.fleet().boxes()),
-                            () -> cut = 0);
+                            () ->
+                                    disconnectedBelow =
+                                            (int)
+                                                    Math.ceil(
+                                                            incident.share()
+                                                                    * scenario.fleet().boxes()),
+                            () -> disconnectedBelow = 0);
             case "disk-stall" ->
-                    during(
+                    applyDuring(
                             incident,
-                            () -> some.forEach(box -> stall(box, true)),
-                            () -> some.forEach(box -> stall(box, false)));
+                            () -> affected.forEach(server -> setDiskStalled(server, true)),
+                            () -> affected.forEach(server -> setDiskStalled(server, false)));
             case "retry-storm" ->
-                    during(incident, () -> storm(incident.share(), true), () -> storm(1, false));
-            default -> throw new IllegalStateException(incident.what());
+                    applyDuring(
+                            incident,
+                            () -> setRetryStorm(incident.share(), true),
+                            () -> setRetryStorm(1, false));
+            default ->
+                    throw new IllegalStateException("unknown kind of incident: " + incident.what());
         }
     }
 
-    private void during(Scenario.Incident incident, Runnable begins, Runnable ends) {
-        begins.run();
-        events.after(incident.forS(), ends);
+    private void applyDuring(Scenario.Incident incident, Runnable onStart, Runnable onEnd) {
+        onStart.run();
+        events.schedule(incident.forS(), onEnd);
     }
 
-    private void stall(EmulatedServer box, boolean now) {
-        if (disks.get(box.place) != null) {
-            disks.get(box.place).stall(now);
+    private void setDiskStalled(EmulatedServer server, boolean stalled) {
+        if (storages.get(server.index) != null) {
+            storages.get(server.index).setStalled(stalled);
         }
     }
 
-    private void storm(double share, boolean now) {
+    private void setRetryStorm(double share, boolean active) {
         int count = (int) Math.ceil(share * gateways.size());
         for (int i = 0; i < count; i++) {
-            gateways.get(i).storms = now;
+            gateways.get(i).retryStorm = active;
         }
     }
 
-    void dies(EmulatedServer box) {
-        dies(box, 0);
+    void crash(EmulatedServer server) {
+        crash(server, 0);
     }
 
-    /** It dies at once, and its successor comes up cold; gateways hear of both late. */
-    private void dies(EmulatedServer box, double away) {
-        if (box.state == EmulatedServer.State.DEAD) {
+    /** Crashes a server and schedules its replacement, which starts cold. */
+    private void crash(EmulatedServer server, double downSeconds) {
+        if (server.state == EmulatedServer.State.STOPPED) {
             return;
         }
-        outcome.died(events.seconds());
-        box.die();
-        succeeds(box, away + script.fleet().bootS());
+        result.countServerCrash(events.nowSeconds());
+        server.terminate();
+        scheduleReplacement(server, downSeconds + scenario.fleet().bootS());
     }
 
-    private void release(EmulatedServer box) {
-        if (box.state != EmulatedServer.State.UP) {
+    private void drainAndReplace(EmulatedServer server) {
+        if (server.state != EmulatedServer.State.UP) {
             return;
         }
-        box.leave();
-        succeeds(box, script.fleet().stopS() + script.fleet().bootS());
+        server.shutDown();
+        scheduleReplacement(server, scenario.fleet().stopS() + scenario.fleet().bootS());
     }
 
-    private void succeeds(EmulatedServer box, double later) {
-        boxes.remove(box);
-        tell();
-        events.after(
-                later,
+    private void scheduleReplacement(EmulatedServer server, double delaySeconds) {
+        servers.remove(server);
+        publishDirectory();
+        events.schedule(
+                delaySeconds,
                 () -> {
-                    // Whoever still has the place (a drain that took its whole time) has ended by
-                    // now.
-                    box.die();
-                    boxes.add(box(box.place, true));
-                    tell();
+                    // The old server has stopped by now, even if its drain took the whole time.
+                    server.terminate();
+                    servers.add(newServer(server.index, true));
+                    publishDirectory();
                 });
     }
 
-    private void tell() {
-        ServiceDirectory now = new ServiceDirectory(boxes);
+    /** Sends the current list of servers to each gateway, each with a delay of its own. */
+    private void publishDirectory() {
+        ServiceDirectory directory = new ServiceDirectory(servers);
         for (GatewayModel gateway : gateways) {
-            events.after(
-                    script.gateways().listS() * delays.nextDouble(), () -> gateway.learns(now));
+            events.schedule(
+                    scenario.gateways().listS() * delayRandom.nextDouble(),
+                    () -> gateway.updateDirectory(directory));
         }
     }
 
-    // What is looked at.
+    // Samples.
 
-    private void sample() {
-        int held = 0;
-        int running = 0;
-        for (EmulatedServer box : boxes) {
-            held += box.held();
-            running += box.running();
+    private void recordSample() {
+        int attempts = 0;
+        int runningJobs = 0;
+        for (EmulatedServer server : servers) {
+            attempts += server.attemptCount();
+            runningJobs += server.runningJobs();
         }
-        outcome.sample(events.seconds(), boxes.size(), held, running, ledger.inUse());
-        if (events.seconds() < script.seconds()) {
-            events.after(SimulationResult.SAMPLE_S, this::sample);
+        result.addSample(
+                events.nowSeconds(),
+                servers.size(),
+                attempts,
+                runningJobs,
+                records.callsInProgress());
+        if (events.nowSeconds() < scenario.seconds()) {
+            events.schedule(SimulationResult.SAMPLE_INTERVAL_S, this::recordSample);
         }
     }
 }
--- a/emulator/src/test/java/ochretiller/emulator/CoreTest.java
+++ b/emulator/src/test/java/ochretiller/emulator/CoreTest.java
@@ -11,53 +11,53 @@
 
 class CoreTest {
     private final EventQueue events = new EventQueue();
-    private final List<String> happened = new ArrayList<>();
+    private final List<String> executed = new ArrayList<>();
 
     @Test
-    void eventsComeByTimeAndThenInTheOrderInWhichTheyWereSaid() {
-        events.after(2.0, () -> happened.add("c"));
-        events.after(1.0, () -> happened.add("a"));
-        events.after(
+    void eventsRunByTimeAndThenInSchedulingOrder() {
+        events.schedule(2.0, () -> executed.add("c"));
+        events.schedule(1.0, () -> executed.add("a"));
+        events.schedule(
                 1.0,
                 () -> {
-                    happened.add("b");
-                    events.after(0.0, () -> happened.add("at once"));
+                    executed.add("b");
+                    events.schedule(0.0, () -> executed.add("at once"));
                 });
-        events.run(1.5);
-        assertThat(happened).containsExactly("a", "b", "at once");
-        assertThat(events.seconds()).isEqualTo(1.5);
-        events.run(3);
-        assertThat(happened).endsWith("c");
+        events.runUntil(1.5);
+        assertThat(executed).containsExactly("a", "b", "at once");
+        assertThat(events.nowSeconds()).isEqualTo(1.5);
+        events.runUntil(3);
+        assertThat(executed).endsWith("c");
     }
 
     @Test
-    void whatIsCalledOffDoesNotHappen() {
-        events.after(1.0, () -> happened.add("a")).cancel();
-        events.run(2);
-        assertThat(happened).isEmpty();
-        assertThat(events.done()).isZero();
+    void cancelledEventIsNotExecuted() {
+        events.schedule(1.0, () -> executed.add("a")).cancel();
+        events.runUntil(2);
+        assertThat(executed).isEmpty();
+        assertThat(events.executedEvents()).isZero();
     }
 
     @Test
-    void partsHaveChanceOfTheirOwn() {
-        RandomStreams seeds = new RandomStreams(7);
-        assertThat(seeds.of("box 1").nextLong())
-                .isEqualTo(seeds.of("box 1").nextLong())
-                .isNotEqualTo(seeds.of("box 2").nextLong())
-                .isNotEqualTo(new RandomStreams(8).of("box 1").nextLong());
+    void streamsDependOnSeedAndNameOnly() {
+        RandomStreams streams = new RandomStreams(7);
+        assertThat(streams.stream("box 1").nextLong())
+                .isEqualTo(streams.stream("box 1").nextLong())
+                .isNotEqualTo(streams.stream("box 2").nextLong())
+                .isNotEqualTo(new RandomStreams(8).stream("box 1").nextLong());
     }
 
     @Test
-    void drawsHaveTheirMeans() {
-        SplittableRandom chance = new SplittableRandom(1);
-        double exponential = 0;
-        double around = 0;
+    void distributionsHaveTheGivenMean() {
+        SplittableRandom random = new SplittableRandom(1);
+        double exponentialMean = 0;
+        double logNormalMean = 0;
         for (int i = 0; i < 200_000; i++) {
-            exponential += RandomStreams.exponential(chance, 3) / 200_000;
-            around += RandomStreams.around(chance, 3, 0.8) / 200_000;
+            exponentialMean += RandomStreams.exponential(random, 3) / 200_000;
+            logNormalMean += RandomStreams.logNormal(random, 3, 0.8) / 200_000;
         }
-        assertThat(exponential).isBetween(2.95, 3.05);
-        assertThat(around).isBetween(2.95, 3.05);
-        assertThat(RandomStreams.around(chance, 3, 0)).isEqualTo(3);
+        assertThat(exponentialMean).isBetween(2.95, 3.05);
+        assertThat(logNormalMean).isBetween(2.95, 3.05);
+        assertThat(RandomStreams.logNormal(random, 3, 0)).isEqualTo(3);
     }
 }
--- a/emulator/src/test/java/ochretiller/emulator/FleetTest.java
+++ b/emulator/src/test/java/ochretiller/emulator/FleetTest.java
@@ -23,58 +23,63 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Fleets in virtual time: what the drills show on processes, on many more schedules. */
+/** Simulates fleets in virtual time, on many more schedules than the drills run on processes. */
 class FleetTest {
-    /** The bound that the design note states. */
-    private static final double SETTLED_S = 15;
+    /** Guaranteed settling time of the membership protocol after the last fault, in seconds. */
+    private static final double MAX_SETTLE_TIME_S = 15;
 
-    static List<Path> scripts() throws IOException {
+    static List<Path> scenarioFiles() throws IOException {
         try (Stream<Path> files = Files.list(Path.of("scripts/fleet"))) {
             return files.filter(file -> file.toString().endsWith(".json5")).sorted().toList();
         }
     }
 
     @ParameterizedTest
-    @MethodSource("scripts")
-    void eachScriptComesOutAsItExpects(Path file) {
-        FleetScenario script = FleetScenarioReader.read(file);
+    @MethodSource("scenarioFiles")
+    void everyScenarioMeetsItsExpectations(Path file) {
+        FleetScenario scenario = FleetScenarioReader.read(file);
         for (long seed = 1; seed <= 3; seed++) {
-            assertThat(new MembershipSimulation(script, seed).play().missed(script.expect()))
+            assertThat(
+                            new MembershipSimulation(scenario, seed)
+                                    .run()
+                                    .unmetExpectations(scenario.expect()))
                     .as("seed " + seed)
                     .isEmpty();
         }
     }
 
     @Test
-    void drawnSchedulesSettleWithinTheBound() {
+    void randomScenariosSettleWithinTheBound() {
         for (long seed = 1; seed <= 120; seed++) {
             FleetOutcome outcome =
-                    new MembershipSimulation(RandomScenarios.script(seed, SETTLED_S), seed).play();
-            assertThat(outcome.settledS)
+                    new MembershipSimulation(
+                                    RandomScenarios.forMembership(seed, MAX_SETTLE_TIME_S), seed)
+                            .run();
+            assertThat(outcome.settleTimeS)
                     .as("seed " + seed + ": " + outcome.notes)
-                    .isLessThanOrEqualTo(SETTLED_S);
+                    .isLessThanOrEqualTo(MAX_SETTLE_TIME_S);
         }
     }
 
     @Test
-    void aSeedPlaysTheSameTwice() {
-        FleetScenario script = RandomScenarios.script(7, SETTLED_S);
-        FleetOutcome one = new MembershipSimulation(script, 7).play();
-        FleetOutcome other = new MembershipSimulation(script, 7).play();
-        assertThat(one.settledS).isEqualTo(other.settledS);
-        assertThat(one.ticks).isEqualTo(other.ticks);
-        assertThat(one.knownMs).isEqualTo(other.knownMs);
+    void sameSeedGivesTheSameOutcome() {
+        FleetScenario scenario = RandomScenarios.forMembership(7, MAX_SETTLE_TIME_S);
+        FleetOutcome first = new MembershipSimulation(scenario, 7).run();
+        FleetOutcome second = new MembershipSimulation(scenario, 7).run();
+        assertThat(first.settleTimeS).isEqualTo(second.settleTimeS);
+        assertThat(first.ticks).isEqualTo(second.ticks);
+        assertThat(first.detectionMs).isEqualTo(second.detectionMs);
     }
 
     @Test
-    void aFaultThatNeverEndsIsSeenToLeaveViewsWrong() {
-        FleetScenario script =
-                FleetScenarioReader.of(
+    void viewsDoNotSettleWhileACutLasts() {
+        FleetScenario scenario =
+                FleetScenarioReader.parse(
                         "{ seconds: 40, members: 6, zones: 2, incidents: [ { at_s: 5, for_s: 5,"
                                 + " what: 'cut', who: 'z1' } ] }",
                         "cut");
-        assertThat(new MembershipSimulation(script, 1).play().settledS).isFinite();
-        FleetScenario never =
+        assertThat(new MembershipSimulation(scenario, 1).run().settleTimeS).isFinite();
+        FleetScenario cutUntilEnd =
                 new FleetScenario(
                         "never",
                         40,
@@ -87,114 +92,119 @@
                         0.3,
                         false,
                         false,
-                        script.load(),
+                        scenario.load(),
                         List.of(new FleetScenario.Incident(5, 100, "cut", "z1", "", "", 1)),
-                        new FleetScenario.Expect(SETTLED_S, 0, 0, 0));
-        assertThat(new MembershipSimulation(never, 1).play().missed(never.expect()))
+                        new FleetScenario.Expect(MAX_SETTLE_TIME_S, 0, 0, 0));
+        assertThat(
+                        new MembershipSimulation(cutUntilEnd, 1)
+                                .run()
+                                .unmetExpectations(cutUntilEnd.expect()))
                 .anyMatch(line -> line.startsWith("settled"))
                 .anyMatch(line -> line.contains("changes of verdict"));
     }
 
     @Test
-    void allOrdersOfEventsAreExploredAndAPlantedFaultIsFound() throws Exception {
+    void membershipExplorationFindsOnlyThePlantedFault() throws Exception {
         assertThat(
                         new StateSpaceExplorer(() -> new MembershipStateModel(2, 1, false))
                                 .explore(7, 10_000, line -> {})
-                                .broken())
+                                .violation())
                 .isNull();
         assertThat(
                         new StateSpaceExplorer(() -> new MembershipStateModel(3, 1, false))
                                 .explore(5, 10_000, line -> {})
-                                .broken())
+                                .violation())
                 .isNull();
         assertThat(
                         new StateSpaceExplorer(() -> new MembershipStateModel(3, 1, true))
                                 .explore(3, 10_000, line -> {})
-                                .broken())
+                                .violation())
                 .contains("does not settle");
     }
 
     @Test
-    void noTokenIsRunTwiceInDrawnSchedulesWithCopies() {
+    void noTokenRunsTwiceInRandomScenariosWithReplication() {
         int replayed = 0;
         for (long seed = 1; seed <= 16; seed++) {
             ReplicationSimulation.Outcomes outcome =
                     new ReplicationSimulation(
-                                    RandomScenarios.copies(seed),
+                                    RandomScenarios.forReplication(seed),
                                     seed,
                                     seed % 3 * 0.4,
                                     seed / 3 % 2 * 0.3,
                                     seed % 4 == 0,
                                     true)
-                            .play(60, 25);
-            assertThat(outcome.broken).as("seed " + seed).isEmpty();
+                            .run(60, 25);
+            assertThat(outcome.violations).as("seed " + seed).isEmpty();
             assertThat(outcome.conflicts).as("seed " + seed).isZero();
             replayed += outcome.replayed;
         }
         assertThat(replayed).isPositive();
         assertThat(
-                        new ReplicationSimulation(RandomScenarios.copies(1), 1, 0, 0, false, false)
-                                .play(60, 25)
-                                .broken)
-                .as("each server for itself")
+                        new ReplicationSimulation(
+                                        RandomScenarios.forReplication(1), 1, 0, 0, false, false)
+                                .run(60, 25)
+                                .violations)
+                .as("without claims")
                 .anyMatch(line -> line.contains("run again"));
     }
 
     @Test
-    void claimsAreExploredAndKeepersThatForgetAreFound() throws Exception {
+    void claimExplorationFindsOnlyTheReplicasThatLoseGrants() throws Exception {
         assertThat(
                         new StateSpaceExplorer(() -> new ClaimStateModel(1, false))
                                 .explore(3, 100_000, line -> {})
-                                .broken())
+                                .violation())
                 .isNull();
         assertThat(
                         new StateSpaceExplorer(() -> new ClaimStateModel(1, true))
                                 .explore(3, 100_000, line -> {})
-                                .broken())
+                                .violation())
                 .isNotNull();
     }
 
     @Test
-    void noKeyedRunActsOnAVersionThatWasNotInForceAndStragglersAreFoundWithoutLeases() {
+    void keyedRunsUseCommittedVersionsAndViolationsAppearWithoutLeases() {
         int harmful = 0;
         int stopped = 0;
         for (long seed = 1; seed <= 80; seed++) {
             RolloutSimulation.Outcomes outcome =
-                    new RolloutSimulation(RandomScenarios.copies(seed), seed, true).play(3, 0.3);
-            assertThat(outcome.broken).as("seed " + seed).isEmpty();
-            assertThat(outcome.settledS).as("seed " + seed + ": " + outcome.notes).isFinite();
-            harmful += outcome.harmfulOnes;
-            stopped += outcome.harmfulStopped;
+                    new RolloutSimulation(RandomScenarios.forReplication(seed), seed, true)
+                            .run(3, 0.3);
+            assertThat(outcome.violations).as("seed " + seed).isEmpty();
+            assertThat(outcome.settleTimeS).as("seed " + seed + ": " + outcome.notes).isFinite();
+            harmful += outcome.harmfulVersions;
+            stopped += outcome.stoppedHarmfulVersions;
         }
         assertThat(stopped).isGreaterThan(harmful * 3 / 4);
         assertThat(
-                        new RolloutSimulation(RandomScenarios.copies(290), 290, false)
-                                .play(3, 0.3)
-                                .broken)
+                        new RolloutSimulation(RandomScenarios.forReplication(290), 290, false)
+                                .run(3, 0.3)
+                                .violations)
                 .as("without leases")
                 .isNotEmpty();
     }
 
     @Test
-    void aScriptThatCannotBePlayedIsToldSo() {
+    void invalidScenarioIsRejected() {
         assertThatThrownBy(
                         () ->
-                                FleetScenarioReader.of(
+                                FleetScenarioReader.parse(
                                         "{ seconds: 5, members: 3, incidents: [ { at_s: 1, for_s:"
                                                 + " 9, what: 'cut', who: '1' } ] }",
                                         "s"))
                 .isInstanceOf(MalformedException.class)
-                .hasMessageContaining("behind its end");
+                .hasMessageContaining("after the scenario ends");
         assertThatThrownBy(
                         () ->
-                                FleetScenarioReader.of(
+                                FleetScenarioReader.parse(
                                         "{ seconds: 5, members: 3, incidents: [ { at_s: 1, what:"
                                                 + " 'kill', who: '7' } ] }",
                                         "s"))
                 .hasMessageContaining("no members '7'");
         assertThatThrownBy(
                         () ->
-                                FleetScenarioReader.of(
+                                FleetScenarioReader.parse(
                                         "{ seconds: 5, members: 3, incidents: [ { at_s: 1, what:"
                                                 + " 'burn' } ] }",
                                         "s"))
--- a/emulator/src/test/java/ochretiller/emulator/RuleCheckerTest.java
+++ b/emulator/src/test/java/ochretiller/emulator/RuleCheckerTest.java
@@ -5,84 +5,89 @@
 import ochretiller.emulator.rules.RuleChecker;
 import org.junit.jupiter.api.Test;
 
-/** Each rule is seen to break where it is broken, and only there. */
+/** Checks that each rule reports exactly its own violations. */
 class RuleCheckerTest {
     private final RuleChecker rules = new RuleChecker();
 
-    private void read(long id) {
-        rules.read(0, id, "order", 5, true);
+    private void recordRead(long id) {
+        rules.attemptRead(0, id, "order", 5, true);
     }
 
-    private void runs(long id, String token) {
+    private void recordRun(long id, String token) {
         rules.runs(1, id, "box", token, 20, 100, 0);
     }
 
     @Test
-    void oneAnswerInTimeBreaksNothing() {
-        read(1);
-        runs(1, "t");
-        rules.answered(2, 1, false, -1, -1);
-        rules.over(30);
-        assertThat(rules.broken()).isEmpty();
+    void oneAnswerInTimeIsNoViolation() {
+        recordRead(1);
+        recordRun(1, "t");
+        rules.attemptAnswered(2, 1, false, -1, -1);
+        rules.finish(30);
+        assertThat(rules.violations()).isEmpty();
         assertThat(rules.answers()).isEqualTo(1);
     }
 
     @Test
-    void noAnswerASecondOneAndALateOneBreakTheFirst() {
-        read(1);
-        rules.over(30);
-        assertThat(rules.broken()).singleElement().asString().contains("never answered");
-        read(2);
-        rules.answered(2, 2, false, -1, -1);
-        rules.answered(2, 2, false, -1, -1);
-        assertThat(rules.broken().get(1)).contains("second answer");
-        read(3);
-        rules.answered(5.2, 3, false, -1, -1);
-        assertThat(rules.broken().get(2)).contains("past its due time");
+    void missingSecondAndLateAnswersAreViolations() {
+        recordRead(1);
+        rules.finish(30);
+        assertThat(rules.violations()).singleElement().asString().contains("never answered");
+        recordRead(2);
+        rules.attemptAnswered(2, 2, false, -1, -1);
+        rules.attemptAnswered(2, 2, false, -1, -1);
+        assertThat(rules.violations().get(1)).contains("second answer");
+        recordRead(3);
+        rules.attemptAnswered(5.2, 3, false, -1, -1);
+        assertThat(rules.violations().get(2)).contains("past its due time");
     }
 
     @Test
-    void aSecondRunInItsWindowAndAThrottleBehindOneBreakTheSecond() {
-        read(1);
-        runs(1, "t");
-        rules.answered(2, 1, true, -1, -1);
-        assertThat(rules.broken()).singleElement().asString().contains("throttled behind its run");
-        read(2);
-        runs(2, "t");
-        assertThat(rules.broken().get(1)).contains("ran twice");
-        read(3);
+    void secondRunInWindowAndThrottlingAfterRunAreViolations() {
+        recordRead(1);
+        recordRun(1, "t");
+        rules.attemptAnswered(2, 1, true, -1, -1);
+        assertThat(rules.violations())
+                .singleElement()
+                .asString()
+                .contains("throttled behind its run");
+        recordRead(2);
+        recordRun(2, "t");
+        assertThat(rules.violations().get(1)).contains("ran twice");
+        recordRead(3);
         rules.runs(21, 3, "box", "t", 40, 100, 20);
-        assertThat(rules.count()).as("its window is over").isEqualTo(2);
+        assertThat(rules.violationCount())
+                .as("after the end of the deduplication window")
+                .isEqualTo(2);
         rules.runs(21, 3, "another", "t", 40, 100, 20);
-        assertThat(rules.count()).as("another box has a table of its own").isEqualTo(2);
+        assertThat(rules.violationCount()).as("tokens are tracked per server").isEqualTo(2);
     }
 
     @Test
-    void aRunOfWhatCameBehindTheGraceAndAnEndWithoutAnswerBreakTheThird() {
-        read(1);
+    void runOfArrivalAfterGraceAndShutdownWithoutAnswerAreViolations() {
+        recordRead(1);
         rules.runs(9, 1, "box", null, 0, 7, 8);
-        assertThat(rules.broken()).singleElement().asString().contains("grace");
-        rules.unanswered(9, 1, "box");
-        assertThat(rules.broken().get(1)).contains("left without an answer");
+        assertThat(rules.violations()).singleElement().asString().contains("grace");
+        rules.serverStoppedWithoutAnswer(9, 1, "box");
+        assertThat(rules.violations().get(1)).contains("left without an answer");
     }
 
     @Test
-    void whoIsGoneOrDeadIsOwedNothing() {
-        read(1);
-        rules.gone(1);
-        read(2);
-        rules.died(2);
-        rules.over(30);
-        assertThat(rules.broken()).isEmpty();
+    void noAnswerIsOwedAfterClientLeftOrServerDied() {
+        recordRead(1);
+        rules.clientGone(1);
+        recordRead(2);
+        rules.connectionLost(2);
+        rules.finish(30);
+        assertThat(rules.violations()).isEmpty();
     }
 
     @Test
-    void whoStandsStillAtADueTimeAnswersOnceItGoesOn() {
-        read(1);
-        rules.answered(7, 1, false, 4, 7);
-        assertThat(rules.broken()).isEmpty();
-        read(2);
-        rules.answered(7, 2, false, 5.5, 7);
-        assertThat(rules.broken()).as("it stood still behind the due time only").hasSize(1);
+    void deadlineDuringPauseMovesToItsEnd() {
+        recordRead(1);
+        rules.attemptAnswered(7, 1, false, 4, 7);
+        assertThat(rules.violations()).isEmpty();
+        recordRead(2);
+        rules.attemptAnswered(7, 2, false, 5.5, 7);
+        assertThat(rules.violations()).as("the pause began after the deadline").hasSize(1);
     }
 }
--- a/src/main/java/ochretiller/budgets/TokenBucket.java
+++ b/src/main/java/ochretiller/budgets/TokenBucket.java
@@ -4,79 +4,83 @@
 
 import java.time.Duration;
 
-/** What one team has in hand. */
+/** The token bucket of one team: its available work and retries, in core seconds. */
 final class TokenBucket {
-    GuaranteedRate promise;
+    GuaranteedRate guarantee;
 
-    /** Its own work in hand; under zero it owes for work that cost more than was expected. */
-    private double own;
+    /** Available guaranteed work; negative after work that cost more than expected. */
+    private double availableWork;
 
-    private double retries;
-    private Duration filledAt;
+    private double availableRetryWork;
+    private Duration refilledAt;
 
-    /** Work lent to it, over its weight: who has least is next. */
-    double lent;
+    /** Idle work granted, divided by the weight; the team with the least has precedence. */
+    double idlePerWeight;
 
-    TokenBucket(GuaranteedRate promise, Duration now) {
-        this.promise = promise;
-        this.own = promise.burst();
-        this.retries = promise.retryBurst();
-        this.filledAt = now;
+    TokenBucket(GuaranteedRate guarantee, Duration now) {
+        this.guarantee = guarantee;
+        this.availableWork = guarantee.burst();
+        this.availableRetryWork = guarantee.retryBurst();
+        this.refilledAt = now;
     }
 
-    /** Adds what time has brought; tells what it cannot keep, which is idle. */
-    double fill(Duration now) {
-        double span = Math.max(0, inSeconds(now.minus(filledAt)));
-        filledAt = now;
-        double filled = own + span * promise.rate();
-        own = Math.min(filled, promise.burst());
-        return filled - own;
+    /** Adds the work for the elapsed time; returns the part over the burst, which is idle. */
+    double refill(Duration now) {
+        double elapsedSeconds = Math.max(0, inSeconds(now.minus(refilledAt)));
+        refilledAt = now;
+        double uncapped = availableWork + elapsedSeconds * guarantee.rate();
+        availableWork = Math.min(uncapped, guarantee.burst());
+        return uncapped - availableWork;
     }
 
     /**
-     * The least that must be in hand for a wish: work dearer than the burst may start once the
-     * burst is there.
+     * Returns the balance that a request needs: work that costs more than the burst may start once
+     * the balance reaches the burst.
      */
-    private double needed(double work) {
-        return Math.min(work, promise.burst());
+    private double requiredBalance(double work) {
+        return Math.min(work, guarantee.burst());
     }
 
-    boolean affords(double work) {
-        return promise.rate() > 0 && own >= needed(work);
+    boolean canAfford(double work) {
+        return guarantee.rate() > 0 && availableWork >= requiredBalance(work);
     }
 
-    void takes(double work) {
-        own -= work;
-        retries = Math.min(promise.retryBurst(), retries + work * promise.retryShare());
+    void take(double work) {
+        availableWork -= work;
+        availableRetryWork =
+                Math.min(
+                        guarantee.retryBurst(), availableRetryWork + work * guarantee.retryRatio());
     }
 
-    /** Work that was lent counts as a first try too. */
-    void takesLent(double work) {
-        lent += work / promise.weight();
-        retries = Math.min(promise.retryBurst(), retries + work * promise.retryShare());
+    /** Takes idle work, which earns retries as guaranteed work does. */
+    void takeIdle(double work) {
+        idlePerWeight += work / guarantee.weight();
+        availableRetryWork =
+                Math.min(
+                        guarantee.retryBurst(), availableRetryWork + work * guarantee.retryRatio());
     }
 
-    boolean affordsRetry(double work) {
-        return retries >= work;
+    boolean canAffordRetry(double work) {
+        return availableRetryWork >= work;
     }
 
-    void takesRetry(double work) {
-        retries -= work;
+    void takeRetry(double work) {
+        availableRetryWork -= work;
     }
 
-    /** What it cost beside what was expected; an overestimate comes back, not beyond the burst. */
-    void settles(double more) {
-        own = Math.min(promise.burst(), own - more);
+    /** Charges the cost over the expected work; an overestimate is refunded, up to the burst. */
+    void charge(double excess) {
+        availableWork = Math.min(guarantee.burst(), availableWork - excess);
     }
 
-    /** Seconds until so much is in hand. */
-    double wait(double work) {
-        return promise.rate() == 0
+    /** Returns the seconds until the work is affordable; infinity if the rate is 0. */
+    double secondsUntilAffordable(double work) {
+        return guarantee.rate() == 0
                 ? Double.POSITIVE_INFINITY
-                : Math.max(0, needed(work) - own) / promise.rate();
+                : Math.max(0, requiredBalance(work) - availableWork) / guarantee.rate();
     }
 
-    double own() {
-        return own;
+    double balance() {
+        return availableWork;
     }
 }
--- a/src/main/java/ochretiller/fakes/GatewayMessages.java
+++ b/src/main/java/ochretiller/fakes/GatewayMessages.java
@@ -3,10 +3,11 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Base64;
 
-/** What gateways write. */
+/** Messages that gateways send, and a server configuration with the operations they name. */
 public final class GatewayMessages {
     private GatewayMessages() {}
 
+    /** Returns a line with a JSON-RPC request; {@code params} is a JSON value. */
     public static String message(long id, String method, String params) {
         return "{\"jsonrpc\":\"2.0\",\"id\":"
                 + id
@@ -17,11 +18,12 @@
                 + "}\n";
     }
 
-    /** Parameters of a request that came to the machine now; {@code token} may be null. */
+    /** Returns the parameters of a request that arrived now; a null token makes it unkeyed. */
     public static String params(String rid, String token, String body) {
         return params(rid, System.currentTimeMillis(), token, body);
     }
 
+    /** Returns the parameters of a request that arrived at {@code t0}, in Unix milliseconds. */
     public static String params(String rid, long t0, String token, String body) {
         return "{\"rid\":\""
                 + rid
@@ -34,13 +36,14 @@
                 + "\"}";
     }
 
+    /** Encodes a text in ISO 8859-1 as Base64. */
     public static String base64(String text) {
         return Base64.getEncoder().encodeToString(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
     /**
-     * A configuration of a server between these ports, with a {@code read} and a tokened {@code
-     * order}.
+     * Returns the configuration of a server that listens on and connects to these ports, with the
+     * operations {@code read}, which is pure, and {@code order}, which is keyed.
      */
     public static String config(int listen, int processor, int records, int roster) {
         return """
--- a/src/main/java/ochretiller/fleet/consensus/AcceptorRecovery.java
+++ b/src/main/java/ochretiller/fleet/consensus/AcceptorRecovery.java
@@ -7,68 +7,68 @@
 import java.util.Set;
 
 /**
- * How an acceptor that has lost its state finds out what it may have promised. It asks the others
- * until a majority has told it the highest epoch that they know of: any majority that it was part
- * of has somebody among those.
+ * Recovery of an acceptor that has lost its state: finds out which epochs it may have promised. It
+ * queries the other acceptors until a majority has reported its highest known epochs; any majority
+ * of which it was a part overlaps with these.
  *
- * <p>If all acceptors say in one round, and in {@value #LOST_ROUNDS} rounds running, that they have
- * lost their states, then nothing was ever promised or it is lost for good. Source: the recovery
- * protocol of viewstamped replication (Liskov, Cowling: "Viewstamped Replication Revisited", 2012,
- * section 4.3); the case in which all have lost their states is this project's own.
+ * <p>If in {@value #LOST_ROUNDS} consecutive rounds all acceptors answer that they have lost their
+ * states, then nothing was promised or all promises are lost. Source: the recovery protocol of
+ * viewstamped replication (Liskov, Cowling: "Viewstamped Replication Revisited", 2012, section
+ * 4.3); the handling of states lost by all acceptors is an addition.
  */
 final class AcceptorRecovery {
-    /** Rounds in which all have lost their states, so that servers have time to tell an epoch. */
+    /** Rounds of lost states before voting resumes; servers can report an epoch meanwhile. */
     private static final int LOST_ROUNDS = 4;
 
     private final String name;
     private final Set<String> acceptors;
-    private final long instanceId;
+    private final long startId;
     private final int quorum;
     private final Map<String, Long> highestEpochs = new HashMap<>();
-    private final Map<String, Long> lostInstances = new HashMap<>();
+    private final Map<String, Long> lostStartIds = new HashMap<>();
     private int roundsAllLost;
     private long nonce;
 
     /**
      * Creates the recovery of one acceptor.
      *
-     * @param acceptors names of all, this one included
-     * @param instanceId tells this start from any other
+     * @param acceptors the names of all acceptors, this one included
+     * @param startId a random number that identifies this start of the process
      */
-    AcceptorRecovery(String name, Set<String> acceptors, long instanceId) {
+    AcceptorRecovery(String name, Set<String> acceptors, long startId) {
         this.name = name;
         this.acceptors = acceptors;
-        this.instanceId = instanceId;
+        this.startId = startId;
         this.quorum = ReplicaPlacement.quorumSize(acceptors.size());
     }
 
-    long instanceId() {
-        return instanceId;
+    long startId() {
+        return startId;
     }
 
-    /** Starts a round; answers to earlier ones count no more. */
+    /** Starts a round; answers to earlier rounds are ignored from now on. */
     ConsensusMessage.RecoveryQuery startRound() {
-        if (lostInstances.size() < acceptors.size()) {
+        if (lostStartIds.size() < acceptors.size()) {
             roundsAllLost = 0;
         }
         highestEpochs.clear();
-        lostInstances.clear();
-        lostInstances.put(name, instanceId);
+        lostStartIds.clear();
+        lostStartIds.put(name, startId);
         nonce++;
         return new ConsensusMessage.RecoveryQuery(nonce);
     }
 
-    /** Whether an answer is one to the present round, by an acceptor. */
+    /** Whether an answer belongs to the current round and comes from an acceptor. */
     boolean isCurrent(String from, long answeredNonce) {
         return answeredNonce == nonce && acceptors.contains(from);
     }
 
     /**
-     * Takes a current answer by an acceptor that has its state.
+     * Processes a current answer from an acceptor that has its state.
      *
-     * @return the highest epoch that may have been promised, once a majority has answered
+     * @return the highest epoch that may have been promised; empty until a majority has answered
      */
-    OptionalLong replied(String from, long highestEpoch) {
+    OptionalLong receiveReply(String from, long highestEpoch) {
         highestEpochs.put(from, highestEpoch);
         if (highestEpochs.size() < quorum) {
             return OptionalLong.empty();
@@ -77,24 +77,25 @@
     }
 
     /**
-     * Takes a current answer by an acceptor that has lost its state too.
+     * Processes a current answer from an acceptor that has lost its state too.
      *
-     * @return the message for all acceptors, once this has been so for all for some rounds
+     * @return the message for all acceptors; empty until all have lost their states in {@value
+     *     #LOST_ROUNDS} rounds
      */
-    Optional<ConsensusMessage> stateLost(String from, long itsInstanceId) {
-        boolean isRepeated = lostInstances.put(from, itsInstanceId) != null;
-        if (isRepeated || lostInstances.size() < acceptors.size()) {
+    Optional<ConsensusMessage> receiveStateLost(String from, long peerStartId) {
+        boolean isRepeated = lostStartIds.put(from, peerStartId) != null;
+        if (isRepeated || lostStartIds.size() < acceptors.size()) {
             return Optional.empty();
         }
         roundsAllLost++;
         if (roundsAllLost < LOST_ROUNDS) {
             return Optional.empty();
         }
-        return Optional.of(new ConsensusMessage.AllStateLost(Map.copyOf(lostInstances)));
+        return Optional.of(new ConsensusMessage.AllStateLost(Map.copyOf(lostStartIds)));
     }
 
-    /** Whether this very start was among those that had all lost their states. */
-    boolean includes(ConsensusMessage.AllStateLost allLost) {
-        return Long.valueOf(instanceId).equals(allLost.instanceIds().get(name));
+    /** Whether a message applies to this start of the process, not to an earlier one. */
+    boolean isIncludedIn(ConsensusMessage.AllStateLost allLost) {
+        return Long.valueOf(startId).equals(allLost.startIds().get(name));
     }
 }
--- a/src/main/java/ochretiller/fleet/membership/IndirectProbers.java
+++ b/src/main/java/ochretiller/fleet/membership/IndirectProbers.java
@@ -8,8 +8,8 @@
 
 /**
  * Chooses the members that are asked to probe a target that has not answered (the k members of
- * SWIM's ping-req, section 3.1; k = 3). Departure from SWIM: they are drawn from different zones,
- * so that a cut between two zones leaves a way round.
+ * SWIM's ping-req, section 3.1; k = 3). Departure from SWIM: they are chosen from different zones,
+ * so that a network failure between two zones leaves another path.
  */
 final class IndirectProbers {
     private final ProtocolContext context;
@@ -20,7 +20,7 @@
         this.schedule = schedule;
     }
 
-    /** Asks one member of the target's zone, one of this server's, and one of any other. */
+    /** Asks one member of the target's zone, one of this server's zone, and one of another zone. */
     void request(Probe probe) {
         Optional<MemberRecord> target = context.table().find(probe.target());
         if (target.isEmpty() || schedule.isEmpty()) {
@@ -36,25 +36,25 @@
                         zone -> !zone.equals(targetZone) && !zone.equals(ownZone));
         Set<Long> excluded = new HashSet<>(Set.of(probe.target()));
         for (Predicate<String> preferred : zonePreferences) {
-            Optional<Member> helper = draw(preferred, excluded, 2 * zonePreferences.size());
-            if (helper.isPresent()) {
-                excluded.add(helper.get().incarnation());
+            Optional<Member> prober = chooseProber(preferred, excluded, 2 * zonePreferences.size());
+            if (prober.isPresent()) {
+                excluded.add(prober.get().incarnation());
                 context.send(
-                        helper.get().address(),
+                        prober.get().address(),
                         new MembershipMessage.PingRequest(
                                 probe.nonce(), probe.target(), probe.address()));
             }
         }
     }
 
-    /** The first of some drawn members whose zone is preferred, else the first that will do. */
-    private Optional<Member> draw(
+    /** Draws random members; returns one in the preferred zone, else the first suitable one. */
+    private Optional<Member> chooseProber(
             Predicate<String> preferredZone, Set<Long> excluded, int attempts) {
         Optional<Member> fallback = Optional.empty();
         for (int attempt = 0; attempt < attempts; attempt++) {
             Optional<Member> drawn =
                     context.table()
-                            .find(schedule.drawAny())
+                            .find(schedule.randomMember())
                             .map(MemberRecord::member)
                             .filter(member -> member.state() == MemberState.ALIVE)
                             .filter(member -> !excluded.contains(member.incarnation()));
--- a/src/main/java/ochretiller/fleet/replication/ClaimAttempt.java
+++ b/src/main/java/ochretiller/fleet/replication/ClaimAttempt.java
@@ -14,12 +14,12 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One keyed invocation on its way to a decision. It either claims its token, or, after it gave way
- * to another server's claim, queries the replicas from time to time for that claim's outcome. Not
- * thread-safe; time and random numbers are handed in.
+ * A keyed invocation that awaits a decision. It either claims its token or, after yielding to
+ * another server's claim, polls the replicas for that claim's outcome. Not thread-safe; the caller
+ * passes the time and random numbers.
  */
 final class ClaimAttempt {
-    /** Pause between two queries: doubled from the first to the longest, and spread by chance. */
+    /** First pause between queries, doubled up to {@link #MAX_QUERY_PAUSE}, with random jitter. */
     private static final Duration FIRST_QUERY_PAUSE = Duration.ofMillis(40);
 
     static final Duration MAX_QUERY_PAUSE = Duration.ofMillis(640);
@@ -27,12 +27,10 @@
     private final ClaimIntent intent;
     private final Consumer<ClaimDecision> onDecision;
 
-    /** Replies to the present claim or query, by replica. */
+    /** Replies to the current claim or query, by replica. */
     private final Map<String, ReplicationMessage.ClaimReply> replies = new TreeMap<>();
 
-    /**
-     * Competing claims whose owners were asked whether they run, under the present claim or query.
-     */
+    /** Competing claims whose owners were queried during the current claim or query. */
     private final Set<ClaimId> queriedOwners = new HashSet<>();
 
     private ClaimId claimId;
@@ -42,11 +40,11 @@
     private Duration queryPause = FIRST_QUERY_PAUSE;
     private Optional<Duration> nextQueryAt = Optional.empty();
 
-    /** Replicas in the order in which they are asked. */
+    /** Replicas in the order in which they are contacted. */
     private List<String> replicas = List.of();
 
-    /** How many of them were asked. */
-    private int contacted;
+    /** Number of replicas contacted so far. */
+    private int contactedCount;
 
     private Optional<ClaimId> awaitedResult = Optional.empty();
     private boolean competitorSeen;
@@ -68,7 +66,7 @@
         return intent.token();
     }
 
-    /** The claim, or the name of the present query. */
+    /** Returns the ID of the current claim or query. */
     ClaimId claimId() {
         return claimId;
     }
@@ -81,8 +79,8 @@
         onDecision.accept(new ClaimDecision(kind, Optional.of(claimId), outcome));
     }
 
-    /** Returns the decision that follows from an outcome of the token. */
-    ClaimDecision.Kind kindOf(ClaimOutcome outcome) {
+    /** Returns the decision implied by an outcome of the token. */
+    ClaimDecision.Kind decisionKindOf(ClaimOutcome outcome) {
         if (!outcome.fingerprint().equals(intent.fingerprint())) {
             return ClaimDecision.Kind.FINGERPRINT_MISMATCH;
         }
@@ -91,12 +89,12 @@
                 : ClaimDecision.Kind.COMPLETED_WITHOUT_RESULT;
     }
 
-    /** Returns the decision that is left at the deadline. */
-    ClaimDecision.Kind kindAtDeadline() {
+    /** Returns the decision to report when the start deadline has passed. */
+    ClaimDecision.Kind decisionKindAtDeadline() {
         return competitorSeen ? ClaimDecision.Kind.OUTCOME_UNKNOWN : ClaimDecision.Kind.THROTTLED;
     }
 
-    /** Goes on under a new name; what was answered under the old one is void. */
+    /** Continues under a new claim ID, and discards the replies to the previous one. */
     void renew(ClaimId next) {
         claimId = next;
         replies.clear();
@@ -113,7 +111,7 @@
         claiming = false;
     }
 
-    Duration claimingFor(Duration now) {
+    Duration claimingDuration(Duration now) {
         return now.minus(claimingSince);
     }
 
@@ -123,45 +121,45 @@
 
     // Requests
 
-    /** Starts a round of requests to these replicas, of which the first ones are asked now. */
+    /** Starts a round of requests, and returns the first {@code firstWave} replicas to contact. */
     List<String> startRound(List<String> ordered, int firstWave, Duration now) {
         requestedAt = now;
         replicas = ordered;
-        contacted = Math.min(ordered.size(), firstWave);
+        contactedCount = Math.min(ordered.size(), firstWave);
         return contactedReplicas();
     }
 
     List<String> contactedReplicas() {
-        return replicas.subList(0, contacted);
+        return replicas.subList(0, contactedCount);
     }
 
-    /** Returns the next replica that was not asked yet, and counts it as asked. */
+    /** Returns the next replica not contacted yet, and counts it as contacted. */
     Optional<String> contactNext() {
-        return hasUncontacted() ? Optional.of(replicas.get(contacted++)) : Optional.empty();
+        return hasUncontacted() ? Optional.of(replicas.get(contactedCount++)) : Optional.empty();
     }
 
     boolean hasUncontacted() {
-        return contacted < replicas.size();
+        return contactedCount < replicas.size();
     }
 
-    /** Starts a retry of all replicas whose replies are missing, and returns those. */
+    /** Starts a retry, and returns all replicas whose replies are missing. */
     List<String> startRetry(Duration now) {
         requestedAt = now;
-        contacted = replicas.size();
+        contactedCount = replicas.size();
         return replicas.stream().filter(replica -> !replies.containsKey(replica)).toList();
     }
 
-    Duration sinceRequest(Duration now) {
+    Duration timeSinceRequest(Duration now) {
         return now.minus(requestedAt);
     }
 
     int missingReplies() {
-        return contacted - replies.size();
+        return contactedCount - replies.size();
     }
 
     // Replies
 
-    /** Takes a reply, and returns whether it is the replica's first one. */
+    /** Stores a reply, and returns whether it is the replica's first one. */
     boolean addReply(String replica, ReplicationMessage.ClaimReply reply) {
         return replies.put(replica, reply) == null;
     }
@@ -174,14 +172,12 @@
         return replies;
     }
 
-    void forgetReplies() {
+    void clearReplies() {
         replies.clear();
     }
 
-    /**
-     * Forgets replies of replicas that may have caught up with the range or the epoch meanwhile.
-     */
-    void forgetLaggingReplies() {
+    /** Discards replies of replicas that may since have caught up with the range or the epoch. */
+    void clearLaggingReplies() {
         replies.values()
                 .removeIf(
                         reply ->
@@ -190,7 +186,7 @@
                                                 == ReplicationMessage.ClaimVote.STALE_EPOCH);
     }
 
-    /** Returns the change numbers that the replies rest on, by replica. */
+    /** Returns the change numbers reported in the replies, by replica. */
     Map<String, Long> changeNumbers() {
         Map<String, Long> numbers = new TreeMap<>();
         replies.forEach((replica, reply) -> numbers.put(replica, reply.changeNumber()));
@@ -199,19 +195,18 @@
 
     // Competitors
 
-    boolean isCompetitorSeen() {
+    boolean hasCompetitor() {
         return competitorSeen;
     }
 
-    void noteCompetitor() {
+    void recordCompetitor() {
         competitorSeen = true;
     }
 
     /**
-     * Returns whether the owner of a competing claim has yet to be asked about it, and records that
-     * it is.
+     * Records the owner of a competing claim as queried; returns false if it was queried before.
      */
-    boolean shouldQueryOwner(ClaimId competitor) {
+    boolean markOwnerQueried(ClaimId competitor) {
         return queriedOwners.add(competitor);
     }
 
@@ -229,22 +224,22 @@
         awaitedResult = Optional.of(completed);
     }
 
-    boolean awaits(AssembledResult result) {
+    boolean isAwaiting(AssembledResult result) {
         return token().equals(result.token())
                 && awaitedResult.equals(Optional.of(result.claimId()));
     }
 
-    /** Returns what decides the next steps, as text. */
+    /** Returns the state that determines future behaviour, as text. */
     String describeState(Duration now) {
         return claimId.toString()
                 + claiming
                 + replies
                 + competitorSeen
                 + replicas
-                + contacted
+                + contactedCount
                 + awaitedResult
-                + sinceRequest(now)
-                + claimingFor(now)
+                + timeSinceRequest(now)
+                + claimingDuration(now)
                 + nextQueryAt.map(at -> at.minus(now));
     }
 }
--- a/src/main/java/ochretiller/fleet/replication/CompletedClaim.java
+++ b/src/main/java/ochretiller/fleet/replication/CompletedClaim.java
@@ -7,10 +7,10 @@
  * A claimed run that has ended.
  *
  * @param claimId the claim under which it ran
- * @param outcome how it ended
- * @param chunkedResult the result that replicas request in chunks, where the outcome does not carry
- *     it
- * @param replyDeadline monotonic time at which the answer has to leave
+ * @param outcome the outcome of the run
+ * @param chunkedResult the result for replicas to request in chunks, if the outcome does not
+ *     contain it
+ * @param replyDeadline monotonic time by which the client has to be answered
  * @param windowEnd monotonic time at which the token's idempotency window ends
  */
 public record CompletedClaim(
--- a/src/main/java/ochretiller/fleet/replication/LaggingRanges.java
+++ b/src/main/java/ochretiller/fleet/replication/LaggingRanges.java
@@ -9,7 +9,7 @@
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
 
-/** The ranges that a replica does not have completely yet, in their order. Not thread-safe. */
+/** The ranges that a replica is still catching up on, in ascending order. Not thread-safe. */
 final class LaggingRanges {
     private final Map<Integer, RangeCatchUp> catchUps = new TreeMap<>();
 
@@ -41,27 +41,28 @@
         return Set.copyOf(catchUps.keySet());
     }
 
-    /** Returns the ranges in which this replica may have forgotten claims that it granted. */
-    Set<Integer> forgotten() {
-        Set<Integer> forgotten = new HashSet<>();
+    /** Returns the ranges in which this replica may have lost claims that it granted. */
+    Set<Integer> withLostGrants() {
+        Set<Integer> lostGrants = new HashSet<>();
         catchUps.forEach(
                 (range, catchUp) -> {
-                    if (catchUp.mayHaveForgotten()) {
-                        forgotten.add(range);
+                    if (catchUp.mayHaveLostGrants()) {
+                        lostGrants.add(range);
                     }
                 });
-        return forgotten;
+        return lostGrants;
     }
 
-    List<Integer> overdue(Duration now) {
+    /** Returns the ranges whose catch-up has passed its deadline. */
+    List<Integer> overdueRanges(Duration now) {
         return catchUps.entrySet().stream()
                 .filter(each -> each.getValue().isOverdue(now))
                 .map(Map.Entry::getKey)
                 .toList();
     }
 
-    /** Returns for how long the range that has lagged longest has done so, zero where none lags. */
-    Duration oldestLag(Duration now) {
+    /** Returns how long the longest-lagging range has been lagging; zero if none lags. */
+    Duration longestLag(Duration now) {
         return catchUps.values().stream()
                 .map(catchUp -> catchUp.lag(now))
                 .max(Duration::compareTo)
--- a/src/main/java/ochretiller/fleet/replication/OutcomeReplication.java
+++ b/src/main/java/ochretiller/fleet/replication/OutcomeReplication.java
@@ -8,26 +8,26 @@
 import java.util.function.Consumer;
 
 /**
- * Brings outcomes of claimed runs to a write quorum of their tokens' replicas before the client is
- * answered, and goes on to the remaining replicas for a while. Knows which claims were granted and
- * not ended yet. Not thread-safe; time is handed in.
+ * Replicates outcomes of claimed runs to a write quorum of their tokens' replicas before the client
+ * is answered, and afterwards to the remaining replicas with a few retries. Tracks granted claims
+ * that have not ended. Not thread-safe; callers pass the time.
  */
 final class OutcomeReplication {
-    /** Outcomes that are on their way at most. */
+    /** Maximum number of outcomes being replicated. */
     private static final int MAX_PENDING = 10_000;
 
     /**
-     * Characters of chunked results that are held for replicas to request; beyond it replicas get
-     * the outcome alone.
+     * Maximum total length of chunked results retained for replicas to request; beyond it replicas
+     * get the outcome alone.
      */
-    private static final long MAX_HELD_RESULT_CHARACTERS = 8L << 20;
+    private static final long MAX_RETAINED_RESULT_CHARACTERS = 8L << 20;
 
     private final CoordinatorState state;
-    private final Map<ClaimId, GrantedClaim> granted = new LinkedHashMap<>();
-    private final Map<ClaimId, PendingOutcome> pending = new LinkedHashMap<>();
-    private long heldResultCharacters;
+    private final Map<ClaimId, GrantedClaim> grantedClaims = new LinkedHashMap<>();
+    private final Map<ClaimId, PendingOutcome> pendingOutcomes = new LinkedHashMap<>();
+    private long retainedResultCharacters;
 
-    /** A claim that may run, and the changes of its replicas that it rests on. */
+    /** A claim that may run, and the replicas' change numbers when they granted it. */
     private record GrantedClaim(String token, Map<String, Long> changeNumbers) {}
 
     OutcomeReplication(CoordinatorState state) {
@@ -35,124 +35,127 @@
     }
 
     int pendingCount() {
-        return pending.size();
+        return pendingOutcomes.size();
     }
 
     void recordGrant(ClaimId claimId, String token, Map<String, Long> changeNumbers) {
-        granted.put(claimId, new GrantedClaim(token, changeNumbers));
+        grantedClaims.put(claimId, new GrantedClaim(token, changeNumbers));
     }
 
     /**
-     * Forgets a granted claim that will not run; returns its token, if it was granted and has not
-     * ended.
+     * Removes a granted claim that will not run; returns its token, or empty if it was not granted
+     * or has ended.
      */
     Optional<String> cancelGrant(ClaimId claimId) {
-        return Optional.ofNullable(granted.remove(claimId)).map(GrantedClaim::token);
+        return Optional.ofNullable(grantedClaims.remove(claimId)).map(GrantedClaim::token);
     }
 
     /**
-     * Starts the replication of an outcome; {@code onStored} is told at once where that is not
-     * possible.
+     * Starts the replication of an outcome; calls {@code onStored} with false at once if that is
+     * not possible.
      */
     void start(CompletedClaim completed, Duration now, Consumer<Boolean> onStored) {
-        GrantedClaim claim = granted.remove(completed.claimId());
-        if (claim == null || pending.size() >= MAX_PENDING) {
+        GrantedClaim claim = grantedClaims.remove(completed.claimId());
+        if (claim == null || pendingOutcomes.size() >= MAX_PENDING) {
             onStored.accept(false);
             return;
         }
-        CompletedClaim held = withinHeldResults(completed);
-        heldResultCharacters += held.chunkedResult().map(String::length).orElse(0);
+        CompletedClaim retained = withinRetentionLimit(completed);
+        retainedResultCharacters += retained.chunkedResult().map(String::length).orElse(0);
         PendingOutcome outcome =
-                new PendingOutcome(claim.token, held, claim.changeNumbers, onStored, now);
-        pending.put(completed.claimId(), outcome);
+                new PendingOutcome(claim.token, retained, claim.changeNumbers, onStored, now);
+        pendingOutcomes.put(completed.claimId(), outcome);
         send(outcome, now);
     }
 
     /**
      * Starts the replication of an outcome of a previous incarnation of this server, unless it is
-     * on its way already.
+     * already in progress.
      */
     void startPrevious(String token, CompletedClaim completed, Duration now) {
-        if (!pending.containsKey(completed.claimId())) {
+        if (!pendingOutcomes.containsKey(completed.claimId())) {
             recordGrant(completed.claimId(), token, Map.of());
             start(completed, now, stored -> {});
         }
     }
 
-    private CompletedClaim withinHeldResults(CompletedClaim completed) {
+    private CompletedClaim withinRetentionLimit(CompletedClaim completed) {
         ClaimOutcome outcome = completed.outcome();
-        boolean fits = heldResultCharacters + outcome.resultSize() <= MAX_HELD_RESULT_CHARACTERS;
+        boolean fits =
+                retainedResultCharacters + outcome.resultSize() <= MAX_RETAINED_RESULT_CHARACTERS;
         return outcome.isChunked() && fits ? completed : completed.withoutChunkedResult();
     }
 
-    /** Returns the chunked result of a run of this server that replicas may still request. */
-    Optional<String> heldResult(ClaimId claimId) {
-        return Optional.ofNullable(pending.get(claimId)).flatMap(PendingOutcome::chunkedResult);
+    /** Returns the chunked result of a claim of this server while replicas may still request it. */
+    Optional<String> retainedResult(ClaimId claimId) {
+        return Optional.ofNullable(pendingOutcomes.get(claimId))
+                .flatMap(PendingOutcome::chunkedResult);
     }
 
     private void send(PendingOutcome outcome, Duration now) {
         outcome.recordSent(now);
         for (String replica : state.replicasOf(outcome.token())) {
             if (!outcome.isStoredBy(replica)) {
-                state.sendRequest(replica, outcome.message(state.epoch(), now));
+                state.sendRequest(replica, outcome.toMessage(state.epoch(), now));
             }
         }
     }
 
-    /** Starts all quorums anew in a later epoch. */
+    /** Restarts the replication of all pending outcomes in a later epoch. */
     void onEpochChange(Duration now) {
-        pending.values()
+        pendingOutcomes
+                .values()
                 .forEach(
                         outcome -> {
-                            outcome.forgetStored();
+                            outcome.clearConfirmations();
                             send(outcome, now);
                         });
     }
 
-    void onStored(String from, ReplicationMessage.OutcomeStored message, Duration now) {
-        PendingOutcome outcome = pending.get(message.claimId());
-        boolean counts =
+    void onOutcomeStored(String from, ReplicationMessage.OutcomeStored message, Duration now) {
+        PendingOutcome outcome = pendingOutcomes.get(message.claimId());
+        boolean countsTowardsQuorum =
                 outcome != null
                         && message.epoch() == state.epoch()
                         && state.replicasOf(outcome.token()).contains(from);
-        if (!counts) {
+        if (!countsTowardsQuorum) {
             return;
         }
-        // The transfer of a chunked result says nothing about the latency of claims.
-        if (outcome.addStored(from) && outcome.chunkedResult().isEmpty()) {
-            state.latency().record(from, outcome.sinceSent(now));
+        // The time to transfer a chunked result is no measure of claim latency.
+        if (outcome.addConfirmation(from) && outcome.chunkedResult().isEmpty()) {
+            state.replicaLatency().record(from, outcome.timeSinceSent(now));
         }
         if (hasQuorum(outcome)) {
-            outcome.answer(true);
+            outcome.reportStored(true);
         }
-        if (outcome.storedCount() == state.replicasOf(outcome.token()).size()) {
+        if (outcome.confirmationCount() == state.replicasOf(outcome.token()).size()) {
             remove(message.claimId());
         }
     }
 
     private boolean hasQuorum(PendingOutcome outcome) {
-        return outcome.storedCount() >= state.quorumOf(outcome.token());
+        return outcome.confirmationCount() >= state.quorumOf(outcome.token());
     }
 
     private void remove(ClaimId claimId) {
-        PendingOutcome removed = pending.remove(claimId);
+        PendingOutcome removed = pendingOutcomes.remove(claimId);
         if (removed != null) {
-            heldResultCharacters -= removed.chunkedResult().map(String::length).orElse(0);
+            retainedResultCharacters -= removed.chunkedResult().map(String::length).orElse(0);
         }
     }
 
     void tick(Duration now) {
-        for (Map.Entry<ClaimId, PendingOutcome> each : List.copyOf(pending.entrySet())) {
+        for (Map.Entry<ClaimId, PendingOutcome> each : List.copyOf(pendingOutcomes.entrySet())) {
             tick(each.getKey(), each.getValue(), now);
         }
     }
 
     private void tick(ClaimId claimId, PendingOutcome outcome, Duration now) {
         if (outcome.isPastReplyDeadline(now)) {
-            outcome.answer(false);
+            outcome.reportStored(false);
         }
         boolean quorum = hasQuorum(outcome);
-        if (outcome.isOver(quorum, now)) {
+        if (outcome.isFinished(quorum, now)) {
             remove(claimId);
             return;
         }
@@ -165,10 +168,10 @@
         send(outcome, now);
     }
 
-    /** Returns what decides the next steps, as text. */
+    /** Returns the state that determines future behaviour, as text. */
     String describeState(Duration now) {
-        StringBuilder text = new StringBuilder().append(granted);
-        pending.forEach(
+        StringBuilder text = new StringBuilder().append(grantedClaims);
+        pendingOutcomes.forEach(
                 (claimId, outcome) ->
                         text.append('e').append(claimId).append(outcome.describeState(now)));
         return text.toString();
--- a/src/main/java/ochretiller/fleet/service/AcceptorFile.java
+++ b/src/main/java/ochretiller/fleet/service/AcceptorFile.java
@@ -11,33 +11,35 @@
 import ochretiller.fleet.transport.PlacementCodec;
 import ochretiller.settings.MalformedException;
 
-/** The durable state of an acceptor (the promises of a voter) in a file of its own. */
+/** The file of an acceptor's durable state, which operators know as the voter file. */
 final class AcceptorFile {
     private final Path file;
-    private final SealedFile sealedFile;
+    private final ChecksummedFile checksummedFile;
 
     AcceptorFile(Path file) {
         this.file = file;
-        this.sealedFile = new SealedFile(file);
+        this.checksummedFile = new ChecksummedFile(file);
     }
 
     /**
      * Reads the state.
      *
-     * @return nothing if there is no file
-     * @throws MalformedException if the file cannot be read: it may hide a promise
+     * @return the state, or empty if there is no file
+     * @throws MalformedException if the file cannot be read; without it the acceptor might break a
+     *     promise
      */
     Optional<AcceptorState> read() {
         try {
-            return sealedFile.read(AcceptorFile::readState);
+            return checksummedFile.read(AcceptorFile::readState);
         } catch (CorruptFileException e) {
             throw new MalformedException(
-                    "the voter's file "
+                    "the voter file "
                             + file
-                            + " is damaged: take it away, and the voter asks the others what it may"
-                            + " have promised");
+                            + " is corrupt; remove it to let this voter recover its state from the"
+                            + " other servers");
         } catch (IOException e) {
-            throw new MalformedException("cannot read the voter's file " + file);
+            throw new MalformedException(
+                    "cannot read the voter file " + file + ": " + e.getMessage());
         }
     }
 
@@ -51,16 +53,16 @@
                 committed, promisedBallot, acceptedBallot, accepted, abstainsThrough);
     }
 
-    /** Writes the state, which is durable once this returns. Not to be called on the event loop. */
+    /** Writes the state durably. Blocks on the disk, so it must not run on the event loop. */
     void write(AcceptorState state) throws IOException {
-        sealedFile.write(out -> writeState(out, state));
+        checksummedFile.write(out -> writeState(out, state));
     }
 
     private static void writeState(CBORGenerator out, AcceptorState state) throws IOException {
         out.writeNumber(state.abstainsThrough());
         PlacementCodec.writeBallot(out, state.promisedBallot());
         PlacementCodec.writeBallot(out, state.acceptedBallot());
-        PlacementCodec.writePlacement(out, state.committed());
+        PlacementCodec.writePlacement(out, state.committedPlacement());
         PlacementCodec.writeOptionalPlacement(out, state.acceptedPlacement());
     }
 }
--- a/src/main/java/ochretiller/fleet/service/AdminCommands.java
+++ b/src/main/java/ochretiller/fleet/service/AdminCommands.java
@@ -10,47 +10,47 @@
 import ochretiller.fleet.transport.CommandHandler;
 import ochretiller.fleet.transport.PeerSocket;
 
-/** The operators' commands that a server answers, by the names that the wire has for them. */
+/** Handlers of the admin commands that a server accepts, by their names on the wire. */
 final class AdminCommands {
     private static final Logger LOG = Logger.getLogger(FleetService.class.getName());
     private static final String NO_ROLLOUT = "{\"refused\":\"no versions are brought out here\"}";
     private static final String NO_REPLICATION = "{\"copies\":false}";
-    private static final List<String> STEERING_COMMANDS = List.of("pause", "go-on", "take-back");
+    private static final List<String> CONTROL_COMMANDS = List.of("pause", "go-on", "take-back");
 
     private final Map<String, CommandHandler> handlers = new HashMap<>();
 
-    /** Returns the handlers by name. */
+    /** Returns the handlers by command name. */
     Map<String, CommandHandler> handlers() {
         return Map.copyOf(handlers);
     }
 
-    /** Adds the commands about the membership. */
+    /** Adds the membership commands. */
     AdminCommands withMembership(
             String fleetName,
             MembershipProtocol membership,
             PeerSocket socket,
             Runnable leaveRequest) {
-        handlers.put("view", arguments -> MembershipJson.json(fleetName, membership, socket));
+        handlers.put("view", arguments -> MembershipJson.viewJson(fleetName, membership, socket));
         handlers.put("ping", arguments -> "{}");
         handlers.put("leave", arguments -> leave(leaveRequest));
         return this;
     }
 
     private static String leave(Runnable leaveRequest) {
-        LOG.info("told to leave by the operators' command");
+        LOG.info("fleet: admin command requests this server to leave");
         leaveRequest.run();
         return "{\"leaves\":true}";
     }
 
-    /** Adds the commands about versions; without a rollout they are rejected. */
+    /** Adds the version commands; without a rollout service they are rejected. */
     AdminCommands withRollout(Optional<RolloutService> rollout) {
         addRollout(rollout, "version-status", (service, arguments) -> service.status());
         addRollout(rollout, "version-publish", RolloutService::publish);
-        for (String command : STEERING_COMMANDS) {
+        for (String command : CONTROL_COMMANDS) {
             addRollout(
                     rollout,
                     "version-" + command,
-                    (service, operator) -> service.steer(command, operator));
+                    (service, operator) -> service.executeCommand(command, operator));
         }
         return this;
     }
@@ -66,20 +66,24 @@
                                 .orElse(NO_ROLLOUT));
     }
 
-    /** Adds the commands about replication; without it they tell that there is none. */
+    /** Adds the replication commands; without replication they respond {@code copies: false}. */
     AdminCommands withReplication(Optional<ReplicationService> replication) {
         addReplication(
                 replication,
                 "copies-status",
                 (service, arguments) -> service.statusJson().status());
         addReplication(
-                replication, "copies-show", (service, token) -> service.statusJson().show(token));
+                replication,
+                "copies-show",
+                (service, token) -> service.statusJson().tokenStatus(token));
         addReplication(
                 replication,
                 "copies-digests",
-                (service, arguments) -> service.statusJson().digests());
+                (service, arguments) -> service.statusJson().rangeDigests());
         addReplication(
-                replication, "copies-range", (service, range) -> service.statusJson().range(range));
+                replication,
+                "copies-range",
+                (service, range) -> service.statusJson().rangeTokens(range));
         addReplication(replication, "copies-repair", (service, arguments) -> service.repair());
         return this;
     }
--- a/src/main/java/ochretiller/fleet/service/ClaimMetrics.java
+++ b/src/main/java/ochretiller/fleet/service/ClaimMetrics.java
@@ -2,9 +2,9 @@
 
 import ochretiller.metrics.Metrics;
 
-/** Counters of claims by what came of them. Counted on the event loop. */
+/** Counters of claims and their outcomes. Incremented on the event loop. */
 final class ClaimMetrics {
-    final Metrics.Counter asked;
+    final Metrics.Counter requested;
     final Metrics.Counter granted;
     final Metrics.Counter replayed;
     final Metrics.Counter throttled;
@@ -15,7 +15,7 @@
     final Metrics.Counter previousCompleted;
 
     ClaimMetrics(Metrics metrics) {
-        asked =
+        requested =
                 metrics.counter(
                         "fleet_claims_total", "Tokened invocations whose claim was asked for");
         granted =
--- a/src/main/java/ochretiller/fleet/service/ClaimService.java
+++ b/src/main/java/ochretiller/fleet/service/ClaimService.java
@@ -16,11 +16,11 @@
 import ochretiller.net.Scheduler;
 
 /**
- * The claims of this server's own invocations: decides whether one is needed, answers repeats from
- * a local cache, and counts what comes of them. On the event loop.
+ * Handles the claims of this server's own invocations: decides whether a claim is required, answers
+ * retries from a local cache, and counts the decisions. Confined to the event loop.
  */
 final class ClaimService {
-    /** Outcomes that were learned lately and are answered without asking the replicas. */
+    /** Maximum number of cached outcomes, which are replayed without asking the replicas. */
     private static final int MAX_LOCAL_OUTCOMES = 1_000;
 
     private final Scheduler scheduler;
@@ -28,25 +28,25 @@
     private final ClaimModes modes;
     private final ClaimMetrics metrics;
     private final ClaimLatency latency = new ClaimLatency();
-    private final Runnable publisher;
+    private final Runnable flushMessages;
     private final Map<String, ClaimOutcome> localOutcomes =
             BoundedMap.evictingLeastRecentlyUsed(MAX_LOCAL_OUTCOMES);
 
     /**
      * Creates the service.
      *
-     * @param publisher sends what the coordinator has to send
+     * @param flushMessages sends the coordinator's queued messages
      */
     ClaimService(
             FleetContext context,
             ClaimCoordinator coordinator,
             ClaimModes modes,
-            Runnable publisher) {
+            Runnable flushMessages) {
         this.scheduler = context.scheduler();
         this.coordinator = coordinator;
         this.modes = modes;
         this.metrics = new ClaimMetrics(context.metrics());
-        this.publisher = publisher;
+        this.flushMessages = flushMessages;
     }
 
     /** Returns the counters of claims. */
@@ -54,17 +54,17 @@
         return metrics;
     }
 
-    /** Returns how long granted claims took. */
+    /** Returns the latency statistics of granted claims. */
     ClaimLatency latency() {
         return latency;
     }
 
-    /** Notes that another server claims such operations. */
+    /** Records that another server claims invocations of the fingerprint's operation. */
     void observeClaim(String fingerprint, boolean isTransitional, Duration now) {
-        modes.claimObserved(RequestFingerprint.operationOf(fingerprint), isTransitional, now);
+        modes.recordObservedClaim(RequestFingerprint.operationOf(fingerprint), isTransitional, now);
     }
 
-    /** Asks whether an invocation may run; see {@link ReplicationService#claim}. */
+    /** Decides whether an invocation may run; see {@link ReplicationService#claim}. */
     void claim(
             String token,
             String fingerprint,
@@ -79,26 +79,26 @@
             return;
         }
         boolean isTransitional = requirement == ClaimRequirement.REQUIRED_TRANSITIONALLY;
-        metrics.asked.add();
+        metrics.requested.add();
         if (isTransitional) {
             metrics.transitional.add();
         }
-        if (!ReplicaEntryCodec.tokenFits(token)) {
+        if (!ReplicaEntryCodec.canReplicateToken(token)) {
             metrics.throttled.add();
             completion.accept(ClaimDecision.withoutClaim(ClaimDecision.Kind.THROTTLED));
             return;
         }
-        Optional<ClaimOutcome> known = localOutcome(token, fingerprint);
-        if (known.isPresent()) {
+        Optional<ClaimOutcome> cachedOutcome = localOutcome(token, fingerprint);
+        if (cachedOutcome.isPresent()) {
             metrics.replayed.add();
-            completion.accept(ClaimDecision.replayOf(known.get()));
+            completion.accept(ClaimDecision.replayOf(cachedOutcome.get()));
             return;
         }
         coordinator.claim(
                 new ClaimIntent(token, fingerprint, isTransitional, deadline, windowEnd),
                 now,
-                decision -> decided(token, now, windowEnd, decision, completion));
-        publisher.run();
+                decision -> handleDecision(token, now, windowEnd, decision, completion));
+        flushMessages.run();
     }
 
     private Optional<ClaimOutcome> localOutcome(String token, String fingerprint) {
@@ -108,7 +108,7 @@
                 .filter(outcome -> !outcome.result().isEmpty());
     }
 
-    private void decided(
+    private void handleDecision(
             String token,
             Duration claimedAt,
             Duration windowEnd,
@@ -121,39 +121,39 @@
             }
             case REPLAY -> {
                 metrics.replayed.add();
-                remember(token, decision.outcome().orElseThrow(), windowEnd);
+                cacheOutcome(token, decision.outcome().orElseThrow(), windowEnd);
             }
             case THROTTLED -> metrics.throttled.add();
             case OUTCOME_UNKNOWN -> metrics.outcomeUnknown.add();
             default -> {
-                // Other decisions are counted where they are made.
+                // The other kinds are counted where the invocation fails.
             }
         }
         completion.accept(decision);
     }
 
     /**
-     * Long results are not cached, since they would fill the memory. An outcome may be known for up
-     * to one window longer than it should: a repeat after its window is a fault of the client.
+     * Caches an outcome unless its result is chunked, which would fill the memory. It may stay
+     * cached for one window too long, which is harmless: clients must not retry after the window.
      */
-    private void remember(String token, ClaimOutcome outcome, Duration windowEnd) {
+    private void cacheOutcome(String token, ClaimOutcome outcome, Duration windowEnd) {
         if (outcome.isChunked()) {
             return;
         }
         localOutcomes.put(token, outcome);
         Duration remaining = windowEnd.minus(scheduler.now());
-        scheduler.after(
+        scheduler.runAfter(
                 remaining.isNegative() ? Duration.ZERO : remaining,
                 () -> localOutcomes.remove(token));
     }
 
-    /** A claimed run has never begun: its token is free again. */
+    /** Reports that a claimed run was never started, so that its token is released. */
     void releaseClaim(ClaimId claimId, Duration windowEnd) {
         coordinator.releaseClaim(claimId, windowEnd, scheduler.now());
-        publisher.run();
+        flushMessages.run();
     }
 
-    /** A claimed run has ended; see {@link ReplicationService#reportOutcome}. */
+    /** Reports that a claimed run has ended; see {@link ReplicationService#reportOutcome}. */
     void reportOutcome(
             ClaimId claimId,
             String fingerprint,
@@ -162,7 +162,7 @@
             Duration windowEnd,
             Consumer<Boolean> completion) {
         coordinator.reportOutcome(
-                ClaimOutcomes.completed(claimId, fingerprint, result, deadline, windowEnd),
+                ClaimOutcomes.completedClaim(claimId, fingerprint, result, deadline, windowEnd),
                 scheduler.now(),
                 isStored -> {
                     if (!isStored) {
@@ -170,6 +170,6 @@
                     }
                     completion.accept(isStored);
                 });
-        publisher.run();
+        flushMessages.run();
     }
 }
--- a/src/main/java/ochretiller/fleet/service/PreviousClaims.java
+++ b/src/main/java/ochretiller/fleet/service/PreviousClaims.java
@@ -11,11 +11,11 @@
 import ochretiller.net.Scheduler;
 
 /**
- * Settles the claims of previous incarnations of this server when replicas ask about them.
+ * Resolves claims of previous incarnations of this server when replicas query them.
  *
  * <p>The in-flight marker of a run was durable before the run began. A disk that is complete and as
- * new as this server's last message therefore tells whether a claim ever ran; one that may lack
- * anything proves nothing, and no answer is given. On the event loop.
+ * recent as this server's last message therefore proves whether a claim ever ran. A disk that may
+ * lack records proves nothing, and the query is ignored. Confined to the event loop.
  */
 final class PreviousClaims {
     private final Scheduler scheduler;
@@ -24,16 +24,16 @@
     private final RecoveredReplica recovered;
     private final ClaimCoordinator coordinator;
     private final ClaimMetrics metrics;
-    private final Runnable publisher;
-    private Optional<PreviousIncarnation> previousIncarnation = Optional.empty();
+    private final Runnable flushMessages;
+    private Optional<PreviousRunLookup> previousRunLookup = Optional.empty();
     private boolean isClosed;
 
     /**
-     * Creates an instance that gives no answer until {@link #use} is called.
+     * Creates an instance that ignores all queries until {@link #setPreviousRunLookup} is called.
      *
-     * @param ownClaim a claim of this incarnation, to compare others with
+     * @param ownClaim any claim ID of this incarnation; gives its server name and incarnation
      * @param maxWindow longest idempotency window
-     * @param publisher sends what the coordinator has to send
+     * @param flushMessages sends the coordinator's queued messages
      */
     PreviousClaims(
             Scheduler scheduler,
@@ -42,30 +42,30 @@
             RecoveredReplica recovered,
             ClaimCoordinator coordinator,
             ClaimMetrics metrics,
-            Runnable publisher) {
+            Runnable flushMessages) {
         this.scheduler = scheduler;
         this.ownClaim = ownClaim;
         this.maxWindow = maxWindow;
         this.recovered = recovered;
         this.coordinator = coordinator;
         this.metrics = metrics;
-        this.publisher = publisher;
+        this.flushMessages = flushMessages;
     }
 
-    /** Sets what knows about previous runs. */
-    void use(PreviousIncarnation previous) {
-        previousIncarnation = Optional.of(previous);
+    /** Sets the lookup of previous runs. */
+    void setPreviousRunLookup(PreviousRunLookup lookup) {
+        previousRunLookup = Optional.of(lookup);
     }
 
-    /** Answers a replica that asks whether a claim of this server runs, if that can be proved. */
+    /** Handles a replica's query for a claim of this server, if the disk proves its state. */
     void receive(ReplicationMessage.OwnerQuery query, Optional<Replica> replica) {
-        boolean canBeSettled =
+        boolean isProvable =
                 isOfPreviousIncarnation(query.claimId())
                         && isDiskConclusive(replica)
-                        && ReplicaEntryCodec.tokenFits(query.token());
-        if (canBeSettled) {
-            previousIncarnation.ifPresent(
-                    previous -> previous.lookUp(query.token(), run -> settle(query, run)));
+                        && ReplicaEntryCodec.canReplicateToken(query.token());
+        if (isProvable) {
+            previousRunLookup.ifPresent(
+                    lookup -> lookup.lookUp(query.token(), run -> resolve(query, run)));
         }
     }
 
@@ -82,35 +82,35 @@
                 && replica.get().statistics().staleDisks() == 0;
     }
 
-    private void settle(ReplicationMessage.OwnerQuery query, PreviousIncarnation.PreviousRun run) {
+    private void resolve(ReplicationMessage.OwnerQuery query, PreviousRunLookup.PreviousRun run) {
         if (isClosed) {
             return;
         }
-        if (run.kind() == PreviousIncarnation.Finding.NEVER) {
+        if (run.progress() == PreviousRunLookup.Progress.NEVER_STARTED) {
             metrics.previousNeverRan.add();
             Duration now = scheduler.now();
             coordinator.releaseClaim(query.token(), query.claimId(), now.plus(maxWindow), now);
-        } else if (run.kind() == PreviousIncarnation.Finding.ENDED) {
+        } else if (run.progress() == PreviousRunLookup.Progress.COMPLETED) {
             metrics.previousCompleted.add();
             reportOutcome(query, run);
         }
-        publisher.run();
+        flushMessages.run();
     }
 
     private void reportOutcome(
-            ReplicationMessage.OwnerQuery query, PreviousIncarnation.PreviousRun run) {
+            ReplicationMessage.OwnerQuery query, PreviousRunLookup.PreviousRun run) {
         Duration now = scheduler.now();
         CompletedClaim completed =
-                ClaimOutcomes.completed(
+                ClaimOutcomes.completedClaim(
                         query.claimId(),
-                        run.body(),
+                        run.fingerprint(),
                         Optional.ofNullable(run.result()),
                         now,
-                        run.windowEnds());
+                        run.windowEnd());
         coordinator.reportPreviousOutcome(query.token(), completed, now);
     }
 
-    /** Nothing is settled from here on. */
+    /** Stops resolving claims; pending lookups have no effect. */
     void close() {
         isClosed = true;
     }
--- a/src/main/java/ochretiller/fleet/service/ReplicaRecovery.java
+++ b/src/main/java/ochretiller/fleet/service/ReplicaRecovery.java
@@ -16,8 +16,8 @@
 import ochretiller.store.Store;
 
 /**
- * Reads what a previous process of a replica has left in the store, before the store is started.
- * Used once, on the thread that starts the server.
+ * Recovers the state of a replica of a previous process from the store, before the store is
+ * started. Used once, on the thread that starts the server.
  */
 final class ReplicaRecovery {
     private static final Logger LOG = Logger.getLogger(ReplicaStorage.class.getName());
@@ -26,7 +26,7 @@
     private final Duration now;
     private final long storeNowMillis;
     private final Map<String, ReplicaEntry> entries = new TreeMap<>();
-    private Optional<ReplicaSnapshot> storedPlacement = Optional.empty();
+    private Optional<ReplicaSnapshot> storedSnapshot = Optional.empty();
     private ReplicaMetadata metadata = ReplicaMetadata.NONE;
     private long changeNumber;
     private boolean isComplete;
@@ -34,13 +34,13 @@
     /**
      * Prepares a recovery.
      *
-     * @param now time of the event loop; entries expire relative to it
+     * @param now current time of the event loop, to which entries' expiry is converted
      */
     ReplicaRecovery(Store store, Duration now) {
         this.store = store;
         this.now = now;
         this.storeNowMillis = store.nowMillis();
-        this.isComplete = store.incompleteFor().isZero();
+        this.isComplete = store.timeUntilComplete().isZero();
     }
 
     /** Reads all entries and the metadata. */
@@ -49,12 +49,12 @@
             store.forEachValue(ReplicaStorage.ENTRY_KEY_PREFIX, this::recoverValue);
         } catch (IOException e) {
             isComplete = false;
-            LOG.warning("the keeper's entries cannot be read: " + e.getMessage());
+            LOG.warning("fleet: cannot read the replica's entries: " + e.getMessage());
         }
-        if (!isComplete && storedPlacement.isPresent()) {
+        if (!isComplete && storedSnapshot.isPresent()) {
             LOG.severe(
-                    "fleet: what this server kept may lack something, and is fetched from the"
-                            + " others");
+                    "fleet: the replica's entries on disk may be incomplete; fetching them from"
+                            + " other replicas");
         }
         return new RecoveredReplica(snapshot(), entries, changeNumber, metadata);
     }
@@ -69,13 +69,13 @@
                 recoverEntry(in, expiresAtMillis);
             }
         } catch (IOException | IllegalArgumentException e) {
-            // Its checksum matched, but another program has written it.
+            // The checksum matched, so the value was written in a format unknown to this build.
             isComplete = false;
         }
     }
 
     private void recoverMetadata(CborReader in) throws IOException {
-        storedPlacement =
+        storedSnapshot =
                 Optional.of(
                         new ReplicaSnapshot(
                                 PlacementCodec.readPlacement(in),
@@ -90,7 +90,7 @@
 
     private void recoverEntry(CborReader in, long expiresAtMillis) throws IOException {
         in.readStartArray();
-        ReplicationMessage.TransferredEntry stored = ReplicaEntryCodec.readStartedEntry(in);
+        ReplicationMessage.TransferredEntry stored = ReplicaEntryCodec.readEntryFields(in);
         ReplicaEntry entry =
                 new ReplicaEntry(
                         stored.entry().claims(),
@@ -104,13 +104,13 @@
         if (!isComplete) {
             return Optional.empty();
         }
-        return storedPlacement.map(
+        return storedSnapshot.map(
                 stored ->
                         new ReplicaSnapshot(
                                 stored.placement(),
                                 entries,
                                 stored.laggingRanges(),
-                                stored.forgottenRanges(),
+                                stored.lostGrantRanges(),
                                 stored.unreliableRanges(),
                                 changeNumber,
                                 true));
--- a/src/main/java/ochretiller/fleet/transport/ReplicaEntryCodec.java
+++ b/src/main/java/ochretiller/fleet/transport/ReplicaEntryCodec.java
@@ -15,28 +15,27 @@
 import ochretiller.fleet.replication.ReplicationMessage.TransferredEntry;
 
 /**
- * Encodes and decodes the entries of a replica with their claims and outcomes. Packets and the
- * replica's files share it. Stateless.
+ * Encodes and decodes the entries of a replica with their claims and outcomes, for packets and for
+ * the replica's files. Stateless.
  */
 public final class ReplicaEntryCodec {
-    /**
-     * Longest idempotency key in bytes that fits a key of the store beside the names of its claim.
-     */
+    /** Maximum idempotency key length in bytes: a store key must also fit the claim ID. */
     private static final int MAX_TOKEN_BYTES = 200;
 
     private ReplicaEntryCodec() {}
 
     /** Returns whether an idempotency key is short enough to be replicated. */
-    public static boolean tokenFits(String token) {
+    public static boolean canReplicateToken(String token) {
         return token.length() <= MAX_TOKEN_BYTES
                 && token.getBytes(StandardCharsets.UTF_8).length <= MAX_TOKEN_BYTES;
     }
 
-    /** Guards against a peer that replicates longer keys than this program can store. */
+    /** Reads an idempotency key; rejects one that is longer than this version can store. */
     static String readToken(CborReader in) throws IOException {
         String token = in.readText();
-        if (!tokenFits(token)) {
-            throw new IllegalArgumentException("an idempotency key is too long");
+        if (!canReplicateToken(token)) {
+            throw new IllegalArgumentException(
+                    "idempotency key exceeds " + MAX_TOKEN_BYTES + " bytes");
         }
         return token;
     }
@@ -63,7 +62,7 @@
     static void writeOutcome(CBORGenerator out, ClaimOutcome outcome) throws IOException {
         out.writeBoolean(outcome.succeeded());
         out.writeString(outcome.fingerprint());
-        writeByteText(out, outcome.result());
+        writeLatin1(out, outcome.result());
         out.writeNumber(outcome.resultSize());
         out.writeNumber(outcome.checksum());
         out.writeBoolean(outcome.resultPresent());
@@ -74,22 +73,26 @@
                 new ClaimOutcome(
                         in.readBoolean(),
                         in.readText(),
-                        readByteText(in),
+                        readLatin1(in),
                         (int) in.readLong(),
                         in.readLong(),
                         in.readBoolean());
         if (outcome.resultSize() < 0 || outcome.resultSize() > ClaimOutcome.MAX_RESULT_BYTES) {
-            throw new IllegalArgumentException("a result has " + outcome.resultSize() + " bytes");
+            throw new IllegalArgumentException(
+                    "result size must be 0 to "
+                            + ClaimOutcome.MAX_RESULT_BYTES
+                            + " bytes: "
+                            + outcome.resultSize());
         }
         return outcome;
     }
 
-    /** Writes a text, each character of which stands for one byte, as a byte string. */
-    static void writeByteText(CBORGenerator out, String text) throws IOException {
+    /** Writes a text of ISO 8859-1 characters, each of which is one byte, as a byte string. */
+    static void writeLatin1(CBORGenerator out, String text) throws IOException {
         out.writeBinary(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    static String readByteText(CborReader in) throws IOException {
+    static String readLatin1(CborReader in) throws IOException {
         return new String(in.readBytes(), StandardCharsets.ISO_8859_1);
     }
 
@@ -98,7 +101,7 @@
     }
 
     static List<TransferredEntry> readEntries(CborReader in) throws IOException {
-        return in.readList(() -> readStartedEntry(in));
+        return in.readList(() -> readEntryFields(in));
     }
 
     /** Writes an entry as an array. */
@@ -115,8 +118,8 @@
         out.writeEndArray();
     }
 
-    /** Reads the rest of an entry whose array has been started. */
-    public static TransferredEntry readStartedEntry(CborReader in) throws IOException {
+    /** Reads an entry after the start of its array. */
+    public static TransferredEntry readEntryFields(CborReader in) throws IOException {
         String token = readToken(in);
         Duration remaining = readDuration(in);
         Map<ClaimId, String> claims = readClaims(in);
--- a/src/main/java/ochretiller/fleet/transport/ReplicationCodec.java
+++ b/src/main/java/ochretiller/fleet/transport/ReplicationCodec.java
@@ -18,8 +18,8 @@
 import ochretiller.fleet.replication.ReplicationMessage.OwnerQuery;
 
 /**
- * Encodes and decodes the messages about claims and results: kinds 32 to 38 and 42 to 45. Those on
- * ranges are in {@link AntiEntropyCodec}. Stateless.
+ * Encodes and decodes the messages about claims and results: kinds 32 to 38 and 42 to 45. {@link
+ * AntiEntropyCodec} has those about ranges. Stateless.
  */
 final class ReplicationCodec {
     private static final int CLAIM_REQUEST = 32;
@@ -34,63 +34,66 @@
     private static final int CHUNK_REQUEST = 44;
     private static final int CHUNK = 45;
 
-    /** The votes in the order of their numbers. */
+    /** Votes in the order of their numbers on the wire. */
     private static final List<ClaimVote> VOTES = List.of(ClaimVote.values());
 
     static final List<MessageFormat<?>> FORMATS =
             List.of(
-                    MessageFormat.of(
+                    MessageFormat.ofIndefiniteLength(
                             CLAIM_REQUEST,
                             ClaimRequest.class,
                             ReplicationCodec::encode,
-                            ReplicationCodec::claimRequest),
-                    MessageFormat.of(
+                            ReplicationCodec::readClaimRequest),
+                    MessageFormat.ofIndefiniteLength(
                             CLAIM_QUERY,
                             ClaimQuery.class,
                             ReplicationCodec::encode,
-                            ReplicationCodec::claimQuery),
-                    MessageFormat.of(
+                            ReplicationCodec::readClaimQuery),
+                    MessageFormat.ofIndefiniteLength(
                             CLAIM_REPLY,
                             ClaimReply.class,
                             ReplicationCodec::encode,
-                            ReplicationCodec::claimReply),
-                    MessageFormat.of(
+                            ReplicationCodec::readClaimReply),
+                    MessageFormat.ofIndefiniteLength(
                             CLAIM_COMPLETED,
                             ClaimCompleted.class,
                             ReplicationCodec::encode,
-                            ReplicationCodec::claimCompleted),
-                    MessageFormat.of(
+                            ReplicationCodec::readClaimCompleted),
+                    MessageFormat.ofIndefiniteLength(
                             OUTCOME_STORED,
                             OutcomeStored.class,
                             ReplicationCodec::encode,
-                            ReplicationCodec::outcomeStored),
-                    MessageFormat.of(
+                            ReplicationCodec::readOutcomeStored),
+                    MessageFormat.ofIndefiniteLength(
                             CLAIM_RELEASE,
                             ClaimRelease.class,
                             ReplicationCodec::encode,
-                            ReplicationCodec::claimRelease),
-                    MessageFormat.of(
+                            ReplicationCodec::readClaimRelease),
+                    MessageFormat.ofIndefiniteLength(
                             OWNER_QUERY,
                             OwnerQuery.class,
                             ReplicationCodec::encode,
-                            ReplicationCodec::ownerQuery),
-                    MessageFormat.of(
+                            ReplicationCodec::readOwnerQuery),
+                    MessageFormat.ofIndefiniteLength(
                             CHANGE_NUMBER_QUERY,
                             ChangeNumberQuery.class,
                             ReplicationCodec::encode,
-                            ReplicationCodec::changeNumberQuery),
-                    MessageFormat.of(
+                            ReplicationCodec::readChangeNumberQuery),
+                    MessageFormat.ofIndefiniteLength(
                             CHANGE_NUMBER_REPLY,
                             ChangeNumberReply.class,
                             ReplicationCodec::encode,
-                            ReplicationCodec::changeNumberReply),
-                    MessageFormat.of(
+                            ReplicationCodec::readChangeNumberReply),
+                    MessageFormat.ofIndefiniteLength(
                             CHUNK_REQUEST,
                             ChunkRequest.class,
                             ReplicationCodec::encode,
-                            ReplicationCodec::chunkRequest),
-                    MessageFormat.of(
-                            CHUNK, Chunk.class, ReplicationCodec::encode, ReplicationCodec::chunk));
+                            ReplicationCodec::readChunkRequest),
+                    MessageFormat.ofIndefiniteLength(
+                            CHUNK,
+                            Chunk.class,
+                            ReplicationCodec::encode,
+                            ReplicationCodec::readChunk));
 
     private ReplicationCodec() {}
 
@@ -103,7 +106,7 @@
         out.writeBoolean(message.transitional());
     }
 
-    private static ClaimRequest claimRequest(CborReader in) throws IOException {
+    private static ClaimRequest readClaimRequest(CborReader in) throws IOException {
         return new ClaimRequest(
                 in.readLong(),
                 ReplicaEntryCodec.readToken(in),
@@ -119,7 +122,7 @@
         ReplicaEntryCodec.writeClaimId(out, message.claimId());
     }
 
-    private static ClaimQuery claimQuery(CborReader in) throws IOException {
+    private static ClaimQuery readClaimQuery(CborReader in) throws IOException {
         return new ClaimQuery(
                 in.readLong(), ReplicaEntryCodec.readToken(in), ReplicaEntryCodec.readClaimId(in));
     }
@@ -140,7 +143,7 @@
         out.writeNumber(message.changeNumber());
     }
 
-    private static ClaimReply claimReply(CborReader in) throws IOException {
+    private static ClaimReply readClaimReply(CborReader in) throws IOException {
         return new ClaimReply(
                 in.readLong(),
                 ReplicaEntryCodec.readToken(in),
@@ -164,7 +167,7 @@
         CborWriter.writeNumbersByName(out, message.changeNumbers());
     }
 
-    private static ClaimCompleted claimCompleted(CborReader in) throws IOException {
+    private static ClaimCompleted readClaimCompleted(CborReader in) throws IOException {
         return new ClaimCompleted(
                 in.readLong(),
                 ReplicaEntryCodec.readToken(in),
@@ -181,7 +184,7 @@
         out.writeNumber(message.changeNumber());
     }
 
-    private static OutcomeStored outcomeStored(CborReader in) throws IOException {
+    private static OutcomeStored readOutcomeStored(CborReader in) throws IOException {
         return new OutcomeStored(
                 in.readLong(),
                 ReplicaEntryCodec.readToken(in),
@@ -195,7 +198,7 @@
         ReplicaEntryCodec.writeDuration(out, message.remaining());
     }
 
-    private static ClaimRelease claimRelease(CborReader in) throws IOException {
+    private static ClaimRelease readClaimRelease(CborReader in) throws IOException {
         return new ClaimRelease(
                 ReplicaEntryCodec.readToken(in),
                 ReplicaEntryCodec.readClaimId(in),
@@ -207,7 +210,7 @@
         ReplicaEntryCodec.writeClaimId(out, message.claimId());
     }
 
-    private static OwnerQuery ownerQuery(CborReader in) throws IOException {
+    private static OwnerQuery readOwnerQuery(CborReader in) throws IOException {
         return new OwnerQuery(ReplicaEntryCodec.readToken(in), ReplicaEntryCodec.readClaimId(in));
     }
 
@@ -215,7 +218,7 @@
         out.writeNumber(message.nonce());
     }
 
-    private static ChangeNumberQuery changeNumberQuery(CborReader in) throws IOException {
+    private static ChangeNumberQuery readChangeNumberQuery(CborReader in) throws IOException {
         return new ChangeNumberQuery(in.readLong());
     }
 
@@ -224,7 +227,7 @@
         out.writeNumber(message.changeNumber());
     }
 
-    private static ChangeNumberReply changeNumberReply(CborReader in) throws IOException {
+    private static ChangeNumberReply readChangeNumberReply(CborReader in) throws IOException {
         return new ChangeNumberReply(in.readLong(), in.readLong());
     }
 
@@ -234,7 +237,7 @@
         out.writeNumber(message.offset());
     }
 
-    private static ChunkRequest chunkRequest(CborReader in) throws IOException {
+    private static ChunkRequest readChunkRequest(CborReader in) throws IOException {
         return new ChunkRequest(
                 ReplicaEntryCodec.readToken(in),
                 ReplicaEntryCodec.readClaimId(in),
@@ -245,14 +248,14 @@
         out.writeString(message.token());
         ReplicaEntryCodec.writeClaimId(out, message.claimId());
         out.writeNumber(message.offset());
-        ReplicaEntryCodec.writeByteText(out, message.data());
+        ReplicaEntryCodec.writeLatin1(out, message.data());
     }
 
-    private static Chunk chunk(CborReader in) throws IOException {
+    private static Chunk readChunk(CborReader in) throws IOException {
         return new Chunk(
                 ReplicaEntryCodec.readToken(in),
                 ReplicaEntryCodec.readClaimId(in),
                 (int) in.readLong(),
-                ReplicaEntryCodec.readByteText(in));
+                ReplicaEntryCodec.readLatin1(in));
     }
 }
--- a/src/main/java/ochretiller/fleet/transport/TrafficCounters.java
+++ b/src/main/java/ochretiller/fleet/transport/TrafficCounters.java
@@ -2,50 +2,50 @@
 
 import java.util.concurrent.atomic.LongAdder;
 
-/** What a {@link PeerSocket} has sent and read. Read from any thread. */
+/** Counts the packets and bytes that a {@link PeerSocket} sends and receives. Thread-safe. */
 public final class TrafficCounters {
     private final LongAdder sentPackets = new LongAdder();
     private final LongAdder sentBytes = new LongAdder();
     private final LongAdder droppedPackets = new LongAdder();
-    private final LongAdder readPackets = new LongAdder();
-    private final LongAdder readBytes = new LongAdder();
+    private final LongAdder receivedPackets = new LongAdder();
+    private final LongAdder receivedBytes = new LongAdder();
 
-    void packetSent(int size) {
+    void countSent(int size) {
         sentPackets.increment();
         sentBytes.add(size);
     }
 
-    void packetDropped() {
+    void countDropped() {
         droppedPackets.increment();
     }
 
-    void packetRead(int size) {
-        readPackets.increment();
-        readBytes.add(size);
+    void countReceived(int size) {
+        receivedPackets.increment();
+        receivedBytes.add(size);
     }
 
-    /** Packets that the socket has taken. */
+    /** Returns the number of packets that were handed to the kernel. */
     public long sentPackets() {
         return sentPackets.sum();
     }
 
-    /** Bytes that the socket has taken. */
+    /** Returns the number of bytes that were handed to the kernel. */
     public long sentBytes() {
         return sentBytes.sum();
     }
 
-    /** Packets that the socket did not take. */
+    /** Returns the number of packets that could not be sent. */
     public long droppedPackets() {
         return droppedPackets.sum();
     }
 
-    /** Packets that came in, including rejected ones. */
-    public long readPackets() {
-        return readPackets.sum();
+    /** Returns the number of received packets, including rejected ones. */
+    public long receivedPackets() {
+        return receivedPackets.sum();
     }
 
-    /** Bytes that came in, including those of rejected packets. */
-    public long readBytes() {
-        return readBytes.sum();
+    /** Returns the number of received bytes, including those of rejected packets. */
+    public long receivedBytes() {
+        return receivedBytes.sum();
     }
 }
