--- a/src/main/java/ochretiller/frontend/RequestAttempt.java
+++ b/src/main/java/ochretiller/frontend/RequestAttempt.java
@@ -5,38 +5,38 @@
 import ochretiller.model.Operation;
 
 /**
- * One attempt of a client's request, from its arrival until it is answered and its run is over.
- * Belongs to the event loop.
+ * One attempt of a client's request, from its arrival until it is answered and its run has ended.
+ * Confined to the event loop.
  */
 public final class RequestAttempt {
-    /** Identifies the attempt within this process. */
+    /** The id of the attempt, unique within this process. */
     public final InvocationId id;
 
-    /** The request id, by which the processor and the records service know the attempt. */
-    public final String rid;
+    /** The request id, which identifies the attempt to the processor and the records service. */
+    public final String requestId;
 
     /** The operation to run. */
     public final Operation operation;
 
     /** Memory to reserve for the attempt, in KB. */
-    public final double kb;
+    public final double memoryKb;
 
-    /** Identifies the client. */
-    public final long caller;
+    /** The id of the client. */
+    public final long clientId;
 
-    /** When the attempt reached the machine, since the server's start. */
-    public final Duration arrived;
+    /** When the attempt reached this machine, measured from the start of the server. */
+    public final Duration arrivedAt;
 
     /**
      * When the client sent the attempt, in Unix milliseconds, or {@code
      * IdempotencyCache.NO_CLIENT_TIMESTAMP}.
      */
-    public final long t0;
+    public final long sentAtMillis;
 
-    /** The idempotency key; null where the operation has none. */
+    /** The idempotency key; null unless the operation is keyed. */
     public final String token;
 
-    /** The object that a read is about; null where it names none. */
+    /** The object that the request reads; null if it names none or the operation is keyed. */
     public final String object;
 
     /** The request body. */
@@ -45,71 +45,71 @@
     /** The number of the request on its connection. */
     public final long number;
 
-    final ClientConnection peer;
-    private boolean answered;
-    private boolean running;
+    final ClientConnection clientConnection;
+    private boolean isAnswered;
+    private boolean isRunning;
     private long version;
 
     /**
-     * An attempt as it was read.
+     * Creates an attempt that is not answered and not running.
      *
-     * @param token the idempotency key or null; kept only where the operation is keyed
-     * @param object the object of a read or null; kept only where the operation is not keyed
-     * @param peer the connection that gets the answer
+     * @param token the idempotency key or null; ignored unless the operation is keyed
+     * @param object the object that is read or null; ignored if the operation is keyed
+     * @param peer the connection to answer on
      */
     public RequestAttempt(
             InvocationId id,
-            String rid,
+            String requestId,
             Operation operation,
-            double kb,
-            long caller,
-            Duration arrived,
-            long t0,
+            double memoryKb,
+            long clientId,
+            Duration arrivedAt,
+            long sentAtMillis,
             String token,
             String object,
             byte[] body,
             ClientConnection peer,
             long number) {
         this.id = id;
-        this.rid = rid;
+        this.requestId = requestId;
         this.operation = operation;
-        this.kb = kb;
-        this.caller = caller;
-        this.arrived = arrived;
-        this.t0 = t0;
+        this.memoryKb = memoryKb;
+        this.clientId = clientId;
+        this.arrivedAt = arrivedAt;
+        this.sentAtMillis = sentAtMillis;
         this.token = operation.isKeyed() ? token : null;
         this.object = operation.isKeyed() ? null : object;
         this.body = body;
-        this.peer = peer;
+        this.clientConnection = peer;
         this.number = number;
     }
 
-    /** Whether the client has been answered, or no longer waits. */
-    public boolean answered() {
-        return answered;
+    /** Returns whether the client has been answered or no longer waits. */
+    public boolean isAnswered() {
+        return isAnswered;
     }
 
-    /** Whether a run of this attempt was started and is not over. */
-    public boolean running() {
-        return running;
+    /** Returns whether a run of this attempt is in progress. */
+    public boolean isRunning() {
+        return isRunning;
     }
 
-    /** Notes whether a run of this attempt is under way. */
-    public void runs(boolean now) {
-        running = now;
+    /** Sets whether a run of this attempt is in progress. */
+    public void setRunning(boolean nowRunning) {
+        isRunning = nowRunning;
     }
 
-    /** The version of the fleet's configuration that the attempt is bound to; 0 for none. */
+    /** Returns the version of the fleet configuration that the attempt is bound to, 0 if none. */
     public long version() {
         return version;
     }
 
-    /** Binds the attempt to a version of the fleet's configuration until its end. */
-    public void bind(long to) {
-        version = to;
+    /** Binds the attempt to a version of the fleet configuration until it ends. */
+    public void bindToVersion(long fleetVersion) {
+        version = fleetVersion;
     }
 
-    void settle() {
-        answered = true;
+    void markAnswered() {
+        isAnswered = true;
     }
 }
--- a/src/main/java/ochretiller/jsonrpc/JsonRpcConnection.java
+++ b/src/main/java/ochretiller/jsonrpc/JsonRpcConnection.java
@@ -10,88 +10,94 @@
 import ochretiller.frontend.RequestAttempt;
 import ochretiller.net.Connection;
 import ochretiller.text.BadInputException;
-import ochretiller.text.Frames;
+import ochretiller.text.FrameDecoder;
 
-/** One connection of a gateway: cuts its input into messages and writes the answers. */
+/** One gateway connection: splits its input into messages and writes the responses. */
 final class JsonRpcConnection extends ClientConnection {
-    private static final int LONGEST_LINE = 8 * 1024;
+    private static final int MAX_LINE_BYTES = 8 * 1024;
 
     private final JsonRpcFrontend frontend;
-    private final Frames frames = new Frames(LONGEST_LINE, false, line -> Frames.NONE);
+    private final FrameDecoder decoder =
+            new FrameDecoder(MAX_LINE_BYTES, false, line -> FrameDecoder.NO_BODY);
     private boolean hasSentBadInput;
 
-    JsonRpcConnection(Connection connection, ClientConnections callers, JsonRpcFrontend frontend) {
-        super(connection, callers);
+    JsonRpcConnection(
+            Connection connection, ClientConnections clientConnections, JsonRpcFrontend frontend) {
+        super(connection, clientConnections);
         this.frontend = frontend;
     }
 
-    /** Messages that were complete before a violation are still processed. */
+    /** Messages that precede a protocol violation are still processed. */
     @Override
-    public Runnable received(byte[] bytes, int from, int to) {
+    public Runnable decode(byte[] bytes, int from, int to) {
         List<JsonRpcMessage> messages = new ArrayList<>(1);
         Optional<BadInputException> violation = Optional.empty();
         try {
-            frames.read(bytes, from, to, (line, body) -> messages.add(JsonRpcCodec.read(line)));
+            decoder.decode(bytes, from, to, (line, body) -> messages.add(JsonRpcCodec.parse(line)));
         } catch (BadInputException e) {
             if (messages.isEmpty()) {
                 throw e;
             }
             violation = Optional.of(e);
-            connection.deafen();
+            connection.stopReading();
         }
-        return messages.isEmpty() ? null : processing(messages, violation);
+        return messages.isEmpty() ? null : processingTask(messages, violation);
     }
 
-    private Runnable processing(
+    private Runnable processingTask(
             List<JsonRpcMessage> messages, Optional<BadInputException> violation) {
         return () -> {
-            messages.forEach(message -> frontend.read(this, message));
-            violation.ifPresent(fault -> frontend.unreadable(this, fault));
+            messages.forEach(message -> frontend.handle(this, message));
+            violation.ifPresent(exception -> frontend.onUnparsableInput(this, exception));
         };
     }
 
     @Override
-    public boolean within() {
-        return frames.within();
+    public boolean hasPartialMessage() {
+        return decoder.hasPartialMessage();
     }
 
     boolean isOpen() {
-        return connection.open() && !unreadable();
+        return connection.isOpen() && !hasViolatedProtocol();
     }
 
-    /** The peer's address, for log lines. */
-    String name() {
-        return connection.peer();
+    /** Returns the peer's address, for log lines. */
+    String peerAddress() {
+        return connection.peerAddress();
     }
 
     void write(String text) {
         connection.write(text);
     }
 
-    /** Notes bad input; true for the first of this connection. */
-    boolean isFirstBadInput() {
+    /** Records bad input and returns whether it is the first on this connection. */
+    boolean recordFirstBadInput() {
         boolean first = !hasSentBadInput;
         hasSentBadInput = true;
         return first;
     }
 
     @Override
-    protected void succeeds(RequestAttempt inv, byte[] result, boolean replayed) {
-        write(JsonRpcCodec.result(inv.number, result, frontend.hint()));
+    protected void writeResult(RequestAttempt attempt, byte[] result, boolean replayed) {
+        write(JsonRpcCodec.result(attempt.number, result, frontend.advertisedCapacity()));
     }
 
     @Override
-    protected void throttles(RequestAttempt inv, Duration retryIn, boolean last) {
-        write(JsonRpcCodec.throttled(inv.number, retryIn, last, frontend.hint()));
+    protected void writeThrottled(RequestAttempt attempt, Duration retryAfter, boolean isFinal) {
+        write(
+                JsonRpcCodec.throttledResponse(
+                        attempt.number, retryAfter, isFinal, frontend.advertisedCapacity()));
     }
 
     @Override
-    protected void fails(RequestAttempt inv, FailureReason why) {
-        write(JsonRpcCodec.failed(inv.number, why.text, frontend.hint()));
+    protected void writeError(RequestAttempt attempt, FailureReason reason) {
+        write(
+                JsonRpcCodec.failureResponse(
+                        attempt.number, reason.wireMessage, frontend.advertisedCapacity()));
     }
 
     @Override
-    protected boolean leaves() {
+    protected boolean writeShutdown() {
         write(JsonRpcCodec.SHUTDOWN);
         return true;
     }
--- a/src/main/java/ochretiller/jsonrpc/JsonRpcFrontend.java
+++ b/src/main/java/ochretiller/jsonrpc/JsonRpcFrontend.java
@@ -16,55 +16,56 @@
 import ochretiller.text.BadInputException;
 
 /**
- * The JSON-RPC frontend: turns messages of gateways into request attempts, health checks and
- * aborts. Belongs to the event loop, except for {@link #accepted}.
+ * The JSON-RPC frontend: turns messages from gateways into request attempts, health checks and
+ * aborts. Confined to the event loop, except for {@link #onAccepted}.
  */
 public final class JsonRpcFrontend {
     private static final Logger LOG = Logger.getLogger(JsonRpcFrontend.class.getName());
 
-    /** Requests that may be open on one connection. */
-    private static final int OPEN = 32;
+    /** Maximum number of open requests on one connection. */
+    private static final int MAX_OPEN_REQUESTS = 32;
 
-    private final ClientConnections callers;
+    private final ClientConnections clientConnections;
     private final Map<String, Operation> operations;
     private final LongFunction<Duration> sinceStart;
     private final HealthChecks health;
 
     /**
-     * A frontend that serves each connection passed to {@link #accepted}.
+     * Creates a frontend that serves the connections passed to {@link #onAccepted}.
      *
-     * @param callers the server's connections of clients
+     * @param clientConnections all client connections of the server
      * @param operations the operations that can be invoked, by name
      * @param health answers health checks
      * @param sinceStart converts Unix milliseconds to the time since the server's start
      */
     public JsonRpcFrontend(
-            ClientConnections callers,
+            ClientConnections clientConnections,
             Map<String, Operation> operations,
             HealthChecks health,
             LongFunction<Duration> sinceStart) {
-        this.callers = callers;
+        this.clientConnections = clientConnections;
         this.operations = operations;
         this.health = health;
         this.sinceStart = sinceStart;
     }
 
     /**
-     * Takes a connection that was accepted. Called on the I/O thread.
+     * Registers an accepted connection. Called on the I/O thread.
      *
      * @return the handler of the connection
      */
-    public ConnectionHandler accepted(Connection connection) {
-        return callers.accepted(new JsonRpcConnection(connection, callers, this));
+    public ConnectionHandler onAccepted(Connection connection) {
+        return clientConnections.register(
+                new JsonRpcConnection(connection, clientConnections, this));
     }
 
-    /** The advertised capacity that goes out with each answer. */
-    OptionalDouble hint() {
-        return health.hint();
+    /** Returns the advertised capacity, which every response includes. */
+    OptionalDouble advertisedCapacity() {
+        return health.advertisedCapacity();
     }
 
-    /** Acts on one message. */
-    void read(JsonRpcConnection peer, JsonRpcMessage message) {
+    /** Handles one message. */
+    void handle(JsonRpcConnection peer, JsonRpcMessage message) {
         if (!peer.isOpen()) {
             return;
         }
@@ -88,112 +89,120 @@
         }
     }
 
-    /** Answers an error; a notification that is wrong ends the connection instead. */
+    /** Answers with an error, or closes the connection if the message was a notification. */
     private void reject(JsonRpcConnection peer, OptionalLong id, JsonRpcException error) {
-        // Only the first of a connection is logged at INFO, or a peer could fill the log.
-        Level level = peer.isFirstBadInput() ? Level.INFO : Level.FINE;
+        // Only the first error of a connection is logged at INFO, else a peer could fill the log.
+        Level level = peer.recordFirstBadInput() ? Level.INFO : Level.FINE;
         LOG.log(
                 level,
                 () ->
                         "bad input from gateway "
-                                + peer.name()
+                                + peer.peerAddress()
                                 + ": "
                                 + error.code
                                 + ' '
                                 + error.getMessage());
         if (id.isEmpty()) {
-            peer.spoilt(CloseCode.BAD_INPUT);
+            peer.onProtocolViolation(CloseCode.BAD_INPUT);
             return;
         }
-        peer.write(JsonRpcCodec.fault(id.getAsLong(), error));
-        peer.settle();
+        peer.write(JsonRpcCodec.protocolError(id.getAsLong(), error));
+        peer.closeIfDone();
     }
 
-    /** Input that cannot be parsed followed messages that could. */
-    void unreadable(JsonRpcConnection peer, BadInputException fault) {
-        LOG.info(() -> "bad input from gateway " + peer.name() + ": " + fault.getMessage());
-        peer.spoilt(CloseCode.BAD_INPUT);
+    /** Closes a connection on which unparsable input followed valid messages. */
+    void onUnparsableInput(JsonRpcConnection peer, BadInputException violation) {
+        LOG.info(
+                () ->
+                        "bad input from gateway "
+                                + peer.peerAddress()
+                                + ": "
+                                + violation.getMessage());
+        peer.onProtocolViolation(CloseCode.BAD_INPUT);
     }
 
     private static long requiredId(JsonRpcMessage.Call call) {
         return call.id()
-                .orElseThrow(() -> new JsonRpcException(JsonRpcException.REQUEST, "missing: id"));
+                .orElseThrow(
+                        () ->
+                                new JsonRpcException(
+                                        JsonRpcException.INVALID_REQUEST, "missing: id"));
     }
 
     private void ping(JsonRpcConnection peer, JsonRpcMessage.Call call) {
         long id = requiredId(call);
         if (!(call.params().getOrDefault("full", Boolean.FALSE) instanceof Boolean full)) {
-            throw new JsonRpcException(JsonRpcException.PARAMS, "missing or wrong: full");
+            throw new JsonRpcException(JsonRpcException.INVALID_PARAMS, "missing or wrong: full");
         }
-        peer.shows();
-        peer.checks(1);
+        peer.markValidMessage();
+        peer.addPendingChecks(1);
         health.check(
                 full,
-                good -> {
-                    peer.checks(-1);
-                    peer.write(JsonRpcCodec.health(id, good, health.hint()));
-                    peer.settle();
+                healthy -> {
+                    peer.addPendingChecks(-1);
+                    peer.write(JsonRpcCodec.health(id, healthy, health.advertisedCapacity()));
+                    peer.closeIfDone();
                 });
     }
 
     /**
-     * The client no longer waits for an attempt, which it names by the id of its request or by its
-     * request id. An attempt that is not open is no error: its answer crossed the abort.
+     * Aborts the attempt with the given message id or request id. It is no error if the attempt is
+     * not open, since its response may have been sent before the abort arrived.
      */
     private void abort(JsonRpcConnection peer, JsonRpcMessage.Call call) {
         Map<String, Object> params = call.params();
         boolean isByRequestId = params.containsKey("rid");
         Object ownId = call.id().isPresent() ? (Object) call.id().getAsLong() : null;
-        Object named = params.getOrDefault("id", isByRequestId ? null : ownId);
-        RequestAttempt attempt = findOpen(peer, named, params.get("rid"));
+        Object targetId = params.getOrDefault("id", isByRequestId ? null : ownId);
+        RequestAttempt attempt = findOpen(peer, targetId, params.get("rid"));
         if (attempt != null) {
-            callers.abort(attempt);
-        } else if (!(named instanceof Long) && !isByRequestId) {
-            throw new JsonRpcException(JsonRpcException.PARAMS, "missing or wrong: id");
+            clientConnections.abort(attempt);
+        } else if (!(targetId instanceof Long) && !isByRequestId) {
+            throw new JsonRpcException(JsonRpcException.INVALID_PARAMS, "missing or wrong: id");
         }
-        if (call.id().isPresent() && !ownId.equals(named)) {
-            peer.write(JsonRpcCodec.done(call.id().getAsLong()));
+        if (call.id().isPresent() && !ownId.equals(targetId)) {
+            peer.write(JsonRpcCodec.emptyResult(call.id().getAsLong()));
         }
-        peer.settle();
+        peer.closeIfDone();
     }
 
-    /** The open attempt of this connection with this number or else this request id, or null. */
+    /** Finds an open attempt of this connection by number or else request id; null if none. */
     private RequestAttempt findOpen(JsonRpcConnection peer, Object number, Object requestId) {
-        RequestAttempt attempt = peer.open().get(number);
+        RequestAttempt attempt = peer.openAttempts().get(number);
         if (attempt == null && requestId instanceof String rid) {
-            attempt = callers.find(rid);
+            attempt = clientConnections.findAttempt(rid);
         }
-        return peer.open().containsValue(attempt) ? attempt : null;
+        return peer.openAttempts().containsValue(attempt) ? attempt : null;
     }
 
     private void invoke(JsonRpcConnection peer, JsonRpcMessage.Call call) {
         long id = requiredId(call);
         Operation operation = operations.get(call.method());
         if (operation == null) {
-            throw new JsonRpcException(JsonRpcException.METHOD, "unknown method");
+            throw new JsonRpcException(JsonRpcException.METHOD_NOT_FOUND, "unknown method");
         }
-        InvocationParams params = InvocationParams.of(call.params());
+        InvocationParams params = InvocationParams.parse(call.params());
         if (operation.isKeyed() && params.token() == null) {
-            throw new JsonRpcException(JsonRpcException.PARAMS, "missing or wrong: token");
+            throw new JsonRpcException(JsonRpcException.INVALID_PARAMS, "missing or wrong: token");
         }
-        if (peer.open().containsKey(id)) {
-            throw new JsonRpcException(JsonRpcException.REQUEST, "id is in use");
+        if (peer.openAttempts().containsKey(id)) {
+            throw new JsonRpcException(JsonRpcException.INVALID_REQUEST, "id is in use");
         }
-        if (peer.open().size() >= OPEN) {
-            throw new JsonRpcException(JsonRpcException.REQUEST, "too many open requests");
+        if (peer.openAttempts().size() >= MAX_OPEN_REQUESTS) {
+            throw new JsonRpcException(JsonRpcException.INVALID_REQUEST, "too many open requests");
         }
-        if (callers.knows(params.rid())) {
-            throw new JsonRpcException(JsonRpcException.PARAMS, "rid is in use");
+        if (clientConnections.hasAttempt(params.requestId())) {
+            throw new JsonRpcException(JsonRpcException.INVALID_PARAMS, "rid is in use");
         }
-        callers.opened(
+        clientConnections.addAttempt(
                 new RequestAttempt(
-                        callers.nextId(),
-                        params.rid(),
+                        clientConnections.nextId(),
+                        params.requestId(),
                         operation,
-                        params.kb(),
-                        params.caller(),
-                        sinceStart.apply(params.t0()),
-                        params.t0(),
+                        params.memoryKb(),
+                        params.clientId(),
+                        sinceStart.apply(params.sentAtMillis()),
+                        params.sentAtMillis(),
                         params.token(),
                         params.object(),
                         params.body(),
--- a/src/main/java/ochretiller/net/Connection.java
+++ b/src/main/java/ochretiller/net/Connection.java
@@ -10,89 +10,89 @@
 import org.apache.mina.core.session.IoSession;
 
 /**
- * One TCP connection. Writes are buffered and go out once a round of the event loop, in one write.
+ * One TCP connection. Output is buffered and sent in a single write per event loop round.
  *
- * <p>Belongs to the event loop, except for the members that are said to run on the I/O thread.
+ * <p>Confined to the event loop, except for methods documented otherwise.
  */
 public final class Connection {
     /**
-     * Unread output, in bytes, beyond which a peer is disconnected: the longest answer to each
-     * request that it may have open.
+     * A peer with more unread output than this is disconnected. The limit fits the longest response
+     * to each of the requests that a connection may have open.
      */
-    private static final long UNREAD = 192 * 1024;
+    private static final long MAX_UNREAD_BYTES = 192 * 1024;
 
-    /** The same limit while unread output takes much of the server's memory. */
-    private static final long SOME_UNREAD = 16 * 1024;
+    /** The same limit while unread output of all clients exceeds its share of the memory. */
+    private static final long MAX_UNREAD_BYTES_UNDER_PRESSURE = 16 * 1024;
 
     /**
-     * How long a closed connection waits for the peer to close its side: twice the time in which a
-     * request may cross the close on its way.
+     * Interval between checks whether a closing connection can be closed for good. The first check
+     * never closes it: two intervals are twice the time that a request may be in transit.
      */
-    private static final Duration LINGERS = Duration.ofMillis(100);
+    private static final Duration LINGER_INTERVAL = Duration.ofMillis(100);
 
     /**
-     * How many times {@link #LINGERS} a close waits for a slow peer to read its output: as long as
-     * the longest timeouts of clients.
+     * Number of {@link #LINGER_INTERVAL}s for which a close waits for a slow peer to read its
+     * output; together as long as the longest timeout of clients.
      */
-    private static final int SLOW = 50;
+    private static final int MAX_LINGER_INTERVALS = 50;
 
     private static final int INITIAL_OUTPUT_BYTES = 512;
 
     private final IoSession session;
     private final Network network;
-    private final boolean lingers;
+    private final boolean isLingering;
     private final ByteArrayOutputStream output = new ByteArrayOutputStream(INITIAL_OUTPUT_BYTES);
     private final AtomicInteger queuedBytes = new AtomicInteger();
-    private volatile Optional<CloseCode> code = Optional.empty();
+    private volatile Optional<CloseCode> closeCode = Optional.empty();
     private volatile boolean inputEnded;
-    private volatile boolean deaf;
-    private volatile Optional<Duration> within = Optional.empty();
+    private volatile boolean readingStopped;
+    private volatile Optional<Duration> incompleteSince = Optional.empty();
     private Optional<WriteFuture> lastWrite = Optional.empty();
-    private Duration usedAt;
+    private Duration lastUsedAt;
 
     /**
      * Wraps an open session.
      *
-     * @param lingers whether a close lets a slow peer read its output and waits for the peer's own
-     *     close, as connections of clients need
+     * @param isLingering whether a close waits until the peer has read its output and closed its
+     *     side, as client connections require
      */
-    Connection(IoSession session, Network network, boolean lingers, Duration now) {
+    Connection(IoSession session, Network network, boolean isLingering, Duration now) {
         this.session = session;
-        this.lingers = lingers;
+        this.isLingering = isLingering;
         this.network = network;
-        this.usedAt = now;
+        this.lastUsedAt = now;
     }
 
-    /** Why the connection is closed or closing; empty while it is open. Any thread. */
-    Optional<CloseCode> code() {
-        return code;
+    /** Returns why the connection is closed or closing; empty while it is open. Any thread. */
+    Optional<CloseCode> closeCode() {
+        return closeCode;
     }
 
-    /** Notes why the connection is closed; the first reason stays. Any thread. */
-    void reason(CloseCode reason) {
-        if (code.isEmpty()) {
-            code = Optional.of(reason);
+    /** Records why the connection is closed, unless a reason is already recorded. Any thread. */
+    void recordCloseCode(CloseCode reason) {
+        if (closeCode.isEmpty()) {
+            closeCode = Optional.of(reason);
         }
     }
 
-    /** Whether the connection is neither closed nor closing. Any thread. */
-    public boolean open() {
-        return code.isEmpty();
+    /** Returns whether the connection is neither closed nor closing. Any thread. */
+    public boolean isOpen() {
+        return closeCode.isEmpty();
     }
 
-    /** The peer's address as text, for log lines. Any thread. */
-    public String peer() {
+    /** Returns the peer's address as text, for log lines. Any thread. */
+    public String peerAddress() {
         return String.valueOf(session.getRemoteAddress());
     }
 
-    /** When something was last read or written, since the server's start. */
-    public Duration usedAt() {
-        return usedAt;
+    /** Returns the time of the last read or write, measured from the start of the server. */
+    public Duration lastUsedAt() {
+        return lastUsedAt;
     }
 
-    /** Notes that something was read or written. */
-    public void used(Duration now) {
-        usedAt = now;
+    /** Records a read or write at time {@code now}. */
+    public void markUsed(Duration now) {
+        lastUsedAt = now;
     }
 
     /** Buffers text to be sent in ISO 8859-1. Does nothing on a closed connection. */
@@ -102,23 +102,24 @@
 
     /** Buffers bytes to be sent. Does nothing on a closed connection. */
     public Connection write(byte[] bytes) {
-        if (!open()) {
+        if (!isOpen()) {
             return this;
         }
         if (output.size() == 0) {
-            network.dirty(this);
+            network.markDirty(this);
         }
         output.write(bytes, 0, bytes.length);
         return this;
     }
 
-    /** Sends what is buffered, or disconnects a peer that has left too much unread. */
+    /** Sends the buffered output, or disconnects a peer whose unread output exceeds the limit. */
     void flush() {
-        if (!open() || output.size() == 0) {
+        if (!isOpen() || output.size() == 0) {
             return;
         }
         long unread = session.getScheduledWriteBytes() + output.size();
-        if (unread > UNREAD || unread > SOME_UNREAD && network.crowded()) {
+        if (unread > MAX_UNREAD_BYTES
+                || unread > MAX_UNREAD_BYTES_UNDER_PRESSURE && network.isUnreadOutputHigh()) {
             drop(CloseCode.NOT_READING);
             return;
         }
@@ -127,44 +128,44 @@
     }
 
     /**
-     * Closes the connection once its output has gone out. Input is ignored from here on. A
-     * connection that lingers shuts down its output first and is closed when the peer has closed
-     * its side, or has had time for it.
+     * Closes the connection after its output has been sent; further input is ignored. A lingering
+     * connection first shuts down its output, and is closed when the peer closes its side or the
+     * linger time expires.
      *
-     * @param reason the code in the log line, unless the connection is closing already
+     * @param reason the code in the log line; ignored if the connection is already closing
      */
     public void close(CloseCode reason) {
         flush();
-        if (!open()) {
+        if (!isOpen()) {
             return;
         }
-        reason(reason);
-        // Closing a socket that has unread input resets the connection, and the peer would lose
-        // answers that it has not read.
-        if (!lingers || inputEnded) {
+        recordCloseCode(reason);
+        // Closing a socket with unread input resets the connection, and the peer would lose the
+        // responses that it has not read yet.
+        if (!isLingering || inputEnded) {
             session.closeOnFlush();
         } else if (lastWrite.isEmpty()) {
             shutDownOutput();
         } else {
             lastWrite.get().addListener(written -> shutDownOutput());
         }
-        if (lingers) {
+        if (isLingering) {
             scheduleForcedClose(0);
         }
     }
 
     private void shutDownOutput() {
-        if (!HalfClose.end(session)) {
+        if (!HalfClose.shutDownOutput(session)) {
             session.closeNow();
         }
     }
 
     private void scheduleForcedClose(int earlierChecks) {
-        network.after(
-                LINGERS,
+        network.runAfter(
+                LINGER_INTERVAL,
                 () -> {
                     boolean flushed = session.getScheduledWriteBytes() == 0;
-                    if (flushed && earlierChecks > 0 || earlierChecks == SLOW) {
+                    if (flushed && earlierChecks > 0 || earlierChecks == MAX_LINGER_INTERVALS) {
                         session.closeNow();
                     } else {
                         scheduleForcedClose(earlierChecks + 1);
@@ -172,60 +173,60 @@
                 });
     }
 
-    /** Whether all output has gone out. */
-    public boolean sent() {
+    /** Returns whether all output has been sent. */
+    public boolean isOutputSent() {
         return output.size() == 0 && session.getScheduledWriteBytes() == 0;
     }
 
-    /** The peer has shut down its output. Called on the I/O thread. */
-    void inputEnds() {
+    /** Records that the peer has shut down its output. Called on the I/O thread. */
+    void markInputEnded() {
         inputEnded = true;
-        if (!open()) {
+        if (!isOpen()) {
             session.closeOnFlush();
         }
     }
 
-    /** Stops reading for good. Any thread. */
-    public void deafen() {
-        deaf = true;
-        // Never resumed: MINA's suspendRead and resumeRead, called by two threads, can undo each
-        // other's change.
+    /** Stops reading from the peer permanently. Any thread. */
+    public void stopReading() {
+        readingStopped = true;
+        // Never resumed: suspendRead and resumeRead of MINA, called on two threads, can undo each
+        // other's effect.
         session.suspendRead();
     }
 
-    /** Whether reading was stopped. Any thread. */
-    public boolean deaf() {
-        return deaf;
+    /** Returns whether reading was stopped. Any thread. */
+    public boolean isReadingStopped() {
+        return readingStopped;
     }
 
-    /** Notes since when a message has been incomplete. Called on the I/O thread. */
-    void within(Optional<Duration> since) {
-        within = since;
+    /** Records when the current incomplete message began. Called on the I/O thread. */
+    void incompleteSince(Optional<Duration> since) {
+        incompleteSince = since;
     }
 
-    /** Since when a message has been incomplete; empty between messages. Any thread. */
-    public Optional<Duration> within() {
-        return within;
+    /** Returns when the current incomplete message began; empty between messages. Any thread. */
+    public Optional<Duration> incompleteSince() {
+        return incompleteSince;
     }
 
-    /** Closes the connection at once; output that has not gone out is lost. Any thread. */
+    /** Closes the connection at once and discards unsent output. Any thread. */
     public void drop(CloseCode reason) {
-        reason(reason);
+        recordCloseCode(reason);
         session.closeNow();
     }
 
-    /** Whether all input that was read has been processed on the event loop. */
-    public boolean quiet() {
+    /** Returns whether the event loop has processed all input that was read. */
+    public boolean isInputProcessed() {
         return queuedBytes.get() == 0;
     }
 
     /**
-     * Counts input that waits for the event loop. Any thread.
+     * Changes the number of input bytes that are queued for the event loop. Any thread.
      *
-     * @param bytes how many bytes more wait; negative once they are processed
-     * @return how many bytes wait now
+     * @param bytes the bytes that were added; negative if they have been processed
+     * @return the number of bytes now queued
      */
-    int queued(int bytes) {
+    int addQueuedBytes(int bytes) {
         return queuedBytes.addAndGet(bytes);
     }
 }
--- a/src/main/java/ochretiller/node/AdmissionSession.java
+++ b/src/main/java/ochretiller/node/AdmissionSession.java
@@ -15,11 +15,11 @@
 import ochretiller.server.ServerActions;
 
 /**
- * Handles requests from the moment that the processor is available: tells the admission controller
- * what happens, and has its decisions executed. Event loop thread only.
+ * Handles requests once the processor is available: reports each event to the admission controller
+ * and executes the returned actions. Event loop thread only.
  */
 final class AdmissionSession implements RequestHandler {
-    /** How long a conflicting retry waits to see whether its original is ever run. */
+    /** A retry that still conflicts with its original after this time gets an error. */
     private static final Duration CONFLICT_WAIT = Duration.ofSeconds(1);
 
     private final ServerResources resources;
@@ -31,9 +31,9 @@
     private final PreviousRunRecovery recovery;
 
     /**
-     * Creates a session that has not started.
+     * Creates a session; {@link #start} starts it.
      *
-     * @param processorAge how long ago the processor was started
+     * @param processorAge time since the start of the processor
      */
     AdmissionSession(
             ServerResources resources,
@@ -64,24 +64,24 @@
     @Override
     public void onRequestRead(RequestAttempt attempt) {
         Optional<InvocationId> original =
-                cache.findOriginalOrTrack(attempts.describe(attempt), clock.now());
+                cache.findOriginalOrTrack(attempts.toCacheAttempt(attempt), clock.now());
         boolean conflicts = original.isPresent() && conflicts(attempt, original.get());
-        if (recovery.isAdopted(attempt.rid)) {
-            // Else it would be answered with the result of the other request.
+        if (recovery.isAdopted(attempt.requestId)) {
+            // Otherwise it would be answered with the result of the adopted run.
             resources.connections().fail(attempt, FailureReason.RID_IN_USE);
             return;
         }
         if (conflicts && cache.isCompleted(original.get())) {
-            resources.connections().fail(attempt, FailureReason.OTHER_BODY);
+            resources.connections().fail(attempt, FailureReason.BODY_MISMATCH);
             return;
         }
         attempts.add(attempt, original);
         if (conflicts) {
-            // Another client may have used the key first with a request that the processor rejects;
-            // then this one may run.
+            // Another client may have used the key first: if the processor rejects that request
+            // without running it, this one may run.
             resources
                     .scheduler()
-                    .after(CONFLICT_WAIT, () -> recheckConflict(attempt, original.get()));
+                    .runAfter(CONFLICT_WAIT, () -> recheckConflict(attempt, original.get()));
         }
         execute(admission.onInvocationReceived(invocation(attempt, original)));
     }
@@ -91,30 +91,30 @@
     }
 
     private Invocation invocation(RequestAttempt attempt, Optional<InvocationId> original) {
-        Duration arrivedAt = clock.toAdmissionTime(attempt.arrived);
+        Duration arrivedAt = clock.toAdmissionTime(attempt.arrivedAt);
         return new Invocation(
                 attempt.id,
                 original.orElse(null),
                 attempt.operation,
-                attempt.kb,
+                attempt.memoryKb,
                 arrivedAt,
                 arrivedAt.plus(attempt.operation.clientTimeout()),
                 null,
-                new ClientId(attempt.caller),
+                new ClientId(attempt.clientId),
                 null,
                 false);
     }
 
     private void recheckConflict(RequestAttempt attempt, InvocationId original) {
-        if (!attempt.answered() && conflicts(attempt, original)) {
-            resources.connections().fail(attempt, FailureReason.OTHER_BODY);
-            onClientGone(attempt);
+        if (!attempt.isAnswered() && conflicts(attempt, original)) {
+            resources.connections().fail(attempt, FailureReason.BODY_MISMATCH);
+            onClientDisconnected(attempt);
         }
     }
 
     @Override
-    public void onClientGone(RequestAttempt attempt) {
-        execute(admission.onClientGone(attempt.id));
+    public void onClientDisconnected(RequestAttempt attempt) {
+        execute(admission.onClientDisconnected(attempt.id));
         attempts.forgetIfDone(attempt);
     }
 
@@ -123,15 +123,14 @@
         execute(admission.onShutdownNotice(clock.now().plus(killAfter)));
     }
 
-    /** A run asks for a call to the records service, and waits for its reply. */
+    /** Handles a run's request for a call to the records service; the run waits for the reply. */
     void onCallRequested(String requestId, byte[] body) {
         if (recovery.isAdopted(requestId)) {
-            // The previous process may have made the call, and a call that may have been executed
-            // is never made again.
+            // The previous process may have made the call, and a call must not be executed twice.
             resources.processor().cancelRun(requestId);
             return;
         }
-        RequestAttempt attempt = resources.connections().find(requestId);
+        RequestAttempt attempt = resources.connections().findAttempt(requestId);
         if (attempt != null) {
             attempts.putCallBody(attempt, body);
             execute(admission.onCallRequested(attempt.id));
--- a/src/main/java/ochretiller/node/AuditRecorder.java
+++ b/src/main/java/ochretiller/node/AuditRecorder.java
@@ -20,16 +20,16 @@
 import ochretiller.operator.OperatorConfig;
 
 /**
- * Records in an audit log which version this server acted on and what came of it. Event loop thread
- * only; the writer has a thread of its own for the disk.
+ * Records in an audit log which version this server used and how its invocations ended. Event loop
+ * thread only; the log writer writes to disk on its own thread.
  */
 final class AuditRecorder implements AuditTrail {
     private static final Logger LOG = Logger.getLogger(AuditRecorder.class.getName());
 
-    /** How often it is checked whether the current period is over. */
-    private static final Duration CHECK_INTERVAL = Duration.ofSeconds(1);
+    /** Time between two checks for the end of the current period. */
+    private static final Duration PERIOD_CHECK_INTERVAL = Duration.ofSeconds(1);
 
-    /** Faults of existing files that are logged one by one. */
+    /** Limit on the logged faults of existing files; all of them count in the metric. */
     private static final int MAX_LOGGED_FAULTS = 10;
 
     private final Scheduler scheduler;
@@ -39,10 +39,10 @@
     private final boolean recordsRuns;
 
     /**
-     * Opens the audit log. Nothing is written yet.
+     * Opens the audit log; nothing is written before {@link #start}.
      *
-     * @param serverName the name under which the start is recorded
-     * @param unixMillis the wall clock
+     * @param serverName server name in the record of this start
+     * @param unixMillis the wall clock, in Unix milliseconds
      * @throws IOException if the log cannot be read or written
      */
     AuditRecorder(
@@ -54,10 +54,10 @@
             throws IOException {
         this.scheduler = scheduler;
         this.unixMillis = unixMillis;
-        this.recordsRuns = settings.runs();
-        this.usage = new VersionUsage(settings.span());
-        writer = new AuditLogWriter(settings.folder(), settings.mostBytes(), unixMillis);
-        writer.recoveredFaults().stream().limit(MAX_LOGGED_FAULTS).forEach(AuditRecorder::log);
+        this.recordsRuns = settings.recordsRuns();
+        this.usage = new VersionUsage(settings.maxPeriod());
+        writer = new AuditLogWriter(settings.folder(), settings.maxBytes(), unixMillis);
+        writer.initialFaults().stream().limit(MAX_LOGGED_FAULTS).forEach(AuditRecorder::logFault);
         registerMetrics(metrics);
         usage.startPeriod(unixMillis.getAsLong(), scheduler.now());
         addEvent(
@@ -66,16 +66,16 @@
                 serverName + ", behind record " + writer.head().number());
     }
 
-    private static void log(ChainFault fault) {
+    private static void logFault(ChainFault fault) {
         LOG.severe(() -> "audit: record " + fault.number() + ' ' + fault.description());
     }
 
     private void registerMetrics(Metrics metrics) {
-        metrics.counted(
+        metrics.counterWithCallback(
                 "ochretiller_audit_records_total",
                 "Records of the audit that are on the disk",
                 writer::writtenRecords);
-        metrics.counted(
+        metrics.counterWithCallback(
                 "ochretiller_audit_lost_total",
                 "Records that the disk did not take; the audit says so itself",
                 writer::lostRecords);
@@ -86,7 +86,7 @@
         metrics.gauge(
                 "ochretiller_audit_faults",
                 "Faults found at the start in what was there",
-                () -> writer.recoveredFaults().size());
+                () -> writer.initialFaults().size());
     }
 
     @Override
@@ -96,7 +96,7 @@
     }
 
     private void closePeriodIfDue() {
-        scheduler.after(CHECK_INTERVAL, this::closePeriodIfDue);
+        scheduler.runAfter(PERIOD_CHECK_INTERVAL, this::closePeriodIfDue);
         usage.closeIfDue(unixMillis.getAsLong(), scheduler.now()).ifPresent(writer::add);
     }
 
@@ -108,25 +108,25 @@
 
     @Override
     public void recordRolloutEvent(RolloutEvent event, long version, String hash, String text) {
-        // A period has one version, and is fenced as a whole or not at all.
-        if (event == RolloutEvent.CHANGED) {
+        // A period covers one version and is either fenced or not, so each change starts a new one.
+        if (event == RolloutEvent.VERSION_CHANGED) {
             usage.switchVersion(version, hash, unixMillis.getAsLong(), scheduler.now())
                     .ifPresent(writer::add);
-        } else if (event == RolloutEvent.SHUT_OUT || event == RolloutEvent.LET_IN) {
+        } else if (event == RolloutEvent.FENCED || event == RolloutEvent.UNFENCED) {
             writer.add(usage.closePeriod(unixMillis.getAsLong(), scheduler.now()));
         }
         addEvent(kind(event), version, text);
     }
 
-    private static AuditEventKind kind(RolloutEvent what) {
-        return switch (what) {
-            case CHANGED -> AuditEventKind.VERSION_CHANGED;
-            case REFUSED -> AuditEventKind.VERSION_REJECTED;
-            case SHUT_OUT -> AuditEventKind.FENCED;
-            case LET_IN -> AuditEventKind.UNFENCED;
-            case PUBLISHED -> AuditEventKind.VERSION_PUBLISHED;
-            case ROLLOUT -> AuditEventKind.ROLLOUT_CHANGED;
-            case WITNESSED -> AuditEventKind.PEER_AUDIT_WITNESSED;
+    private static AuditEventKind kind(RolloutEvent event) {
+        return switch (event) {
+            case VERSION_CHANGED -> AuditEventKind.VERSION_CHANGED;
+            case VERSION_REJECTED -> AuditEventKind.VERSION_REJECTED;
+            case FENCED -> AuditEventKind.FENCED;
+            case UNFENCED -> AuditEventKind.UNFENCED;
+            case VERSION_PUBLISHED -> AuditEventKind.VERSION_PUBLISHED;
+            case ROLLOUT_CHANGED -> AuditEventKind.ROLLOUT_CHANGED;
+            case PEER_AUDIT_WITNESSED -> AuditEventKind.PEER_AUDIT_WITNESSED;
         };
     }
 
@@ -139,7 +139,7 @@
             case THROTTLED -> usage.count(operation, InvocationOutcome.THROTTLED);
             case ERRORED -> usage.count(operation, InvocationOutcome.ERRORED);
             default -> {
-                // a success is what is left of those received
+                // successes are the received invocations that are not counted otherwise
             }
         }
     }
--- a/src/main/java/ochretiller/node/EventLoop.java
+++ b/src/main/java/ochretiller/node/EventLoop.java
@@ -12,9 +12,9 @@
 import ochretiller.net.Scheduler;
 
 /**
- * The one thread that owns all state of a server. It takes the work that is ready and the timers
- * that are due as one batch, runs them one after another, and then has written what came of them.
- * Time stands still within a batch.
+ * The event loop, whose single thread owns all state of a server. It repeatedly runs the posted
+ * tasks and the due timers as one batch, and then a hook that writes the output of the batch.
+ * {@link #now} does not change within a batch.
  *
  * <p>{@link #post} may be called on any thread, everything else on the thread that calls {@link
  * #run}.
@@ -23,15 +23,15 @@
     private static final Logger LOG = Logger.getLogger(EventLoop.class.getName());
     private static final long MAX_WAIT_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-    private final LinkedBlockingQueue<Runnable> ready = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<Runnable> postedTasks = new LinkedBlockingQueue<>();
     private final PriorityQueue<Timer> timers =
             new PriorityQueue<>(Comparator.comparing(Timer::dueAt).thenComparing(Timer::sequence));
     private final long startedNanos = System.nanoTime();
     private volatile Duration now = Duration.ZERO;
     private long timerSequence;
-    private boolean stopped;
+    private boolean isStopped;
 
-    /** Timers with the same due time run in the order in which they were set. */
+    /** A scheduled task; tasks with the same due time run in the order of their sequence. */
     private record Timer(Duration dueAt, long sequence, Runnable work) {}
 
     @Override
@@ -40,7 +40,7 @@
     }
 
     @Override
-    public Duration exact() {
+    public Duration exactNow() {
         return Duration.ofNanos(elapsedNanos());
     }
 
@@ -50,30 +50,30 @@
 
     @Override
     public void post(Runnable work) {
-        ready.add(work);
+        postedTasks.add(work);
     }
 
     @Override
-    public void after(Duration delay, Runnable work) {
+    public void runAfter(Duration delay, Runnable work) {
         timerSequence++;
         timers.add(new Timer(now.plus(delay), timerSequence, work));
     }
 
-    /** Has {@link #run} return after the current batch. */
+    /** Makes {@link #run} return after the current batch. */
     public void stop() {
-        stopped = true;
+        isStopped = true;
     }
 
     /**
-     * Runs until it is stopped.
+     * Runs batches until {@link #stop} is called.
      *
-     * @param afterBatch run after each batch, to write what came of it
+     * @param afterBatch called after each batch to write its output
      */
     public void run(Runnable afterBatch) {
         List<Runnable> batch = new ArrayList<>();
-        while (!stopped) {
+        while (!isStopped) {
             awaitWork(batch);
-            ready.drainTo(batch);
+            postedTasks.drainTo(batch);
             now = Duration.ofNanos(elapsedNanos());
             while (!timers.isEmpty() && timers.peek().dueAt.compareTo(now) <= 0) {
                 batch.add(timers.poll().work);
@@ -86,14 +86,14 @@
 
     private void awaitWork(List<Runnable> batch) {
         try {
-            Runnable first = ready.poll(nanosUntilNextTimer(), TimeUnit.NANOSECONDS);
+            Runnable first = postedTasks.poll(nanosUntilNextTimer(), TimeUnit.NANOSECONDS);
             if (first != null) {
                 batch.add(first);
             }
         } catch (InterruptedException e) {
-            // Deliberately not kept: only a shutdown notice ends a server, and a kept interrupt
-            // would make the loop spin.
-            LOG.warning("event loop interrupted, continues");
+            // The interrupt flag is not restored: only a shutdown notice stops a server, and with
+            // the flag set the loop would spin.
+            LOG.warning("ignored an interrupt of the event loop thread");
         }
     }
 
@@ -104,12 +104,12 @@
         return Math.max(0, timers.peek().dueAt.toNanos() - elapsedNanos());
     }
 
-    /** One failed piece of work must not end the server and everything that it holds. */
+    /** Logs exceptions, since one failed task must not stop the server. */
     private static void runGuarded(Runnable work) {
         try {
             work.run();
         } catch (RuntimeException e) {
-            LOG.log(Level.SEVERE, "fault", e);
+            LOG.log(Level.SEVERE, "uncaught exception in an event loop task", e);
         }
     }
 }
--- a/src/main/java/ochretiller/node/FleetRunClaims.java
+++ b/src/main/java/ochretiller/node/FleetRunClaims.java
@@ -16,20 +16,20 @@
 import ochretiller.model.RunOutcome;
 import ochretiller.net.Scheduler;
 
-/** Claims that a majority of the fleet's replicas grants. Event loop thread only. */
+/** Claims idempotency keys from a majority of the fleet's replicas. Event loop thread only. */
 final class FleetRunClaims implements RunClaims {
     /**
-     * A claim, and the confirmation that an outcome is stored, come at the latest so long before
-     * the client's deadline.
+     * Time before the client's deadline by which a claim must be granted, and the storage of an
+     * outcome confirmed.
      */
-    private static final Duration SAFETY_MARGIN = Duration.ofMillis(120);
+    private static final Duration ANSWER_MARGIN = Duration.ofMillis(120);
 
     private final Scheduler scheduler;
     private final ClientConnections connections;
     private final ReplicationService replication;
 
-    /** Claims of runs that were started here and have not ended. */
-    private final Map<InvocationId, ClaimId> granted = new HashMap<>();
+    /** Granted claims of unfinished runs on this server. */
+    private final Map<InvocationId, ClaimId> grantedClaims = new HashMap<>();
 
     FleetRunClaims(
             Scheduler scheduler, ClientConnections connections, ReplicationService replication) {
@@ -63,10 +63,10 @@
                                     .result()
                                     .getBytes(StandardCharsets.ISO_8859_1),
                             true);
-            case FINGERPRINT_MISMATCH -> connections.fail(attempt, FailureReason.OTHER_BODY);
+            case FINGERPRINT_MISMATCH -> connections.fail(attempt, FailureReason.BODY_MISMATCH);
             case COMPLETED_WITHOUT_RESULT -> connections.fail(attempt, FailureReason.FAILED);
             case THROTTLED -> {
-                // the admission controller throttles it once it learns that it was not dispatched
+                // the admission controller throttles it when the outcome is NOT_DISPATCHED
             }
             default -> connections.fail(attempt, FailureReason.UNKNOWN_END);
         }
@@ -74,10 +74,9 @@
     }
 
     private void onGranted(RequestAttempt attempt, ClaimDecision decision, ClaimListener listener) {
-        decision.claimId().ifPresent(claim -> granted.put(attempt.id, claim));
-        // The decision may have come late: a run is not started for a client that has its answer or
-        // waits no longer.
-        if (!attempt.answered() && scheduler.now().compareTo(deadline(attempt)) < 0) {
+        decision.claimId().ifPresent(claim -> grantedClaims.put(attempt.id, claim));
+        // A late decision must not start a run for a client that was answered or no longer waits.
+        if (!attempt.isAnswered() && scheduler.now().compareTo(deadline(attempt)) < 0) {
             listener.onClaimGranted();
             return;
         }
@@ -87,7 +86,7 @@
 
     @Override
     public void release(RequestAttempt attempt) {
-        ClaimId claim = granted.remove(attempt.id);
+        ClaimId claim = grantedClaims.remove(attempt.id);
         if (claim != null) {
             replication.releaseClaim(claim, windowEnd(attempt));
         }
@@ -99,15 +98,15 @@
             RunOutcome.Status status,
             byte[] result,
             Consumer<Boolean> onStored) {
-        boolean executed =
+        boolean wasExecuted =
                 status != RunOutcome.Status.NEVER_STARTED
                         && status != RunOutcome.Status.NOT_DISPATCHED;
-        if (!executed) {
+        if (!wasExecuted) {
             release(attempt);
             onStored.accept(true);
             return;
         }
-        ClaimId claim = granted.remove(attempt.id);
+        ClaimId claim = grantedClaims.remove(attempt.id);
         if (claim == null) {
             onStored.accept(true);
             return;
@@ -121,7 +120,7 @@
                 windowEnd(attempt),
                 succeeded ? onStored : stored -> {});
         if (!succeeded) {
-            onStored.accept(true); // there is no result that could be lost
+            onStored.accept(true); // no result to lose, so the answer need not wait
         }
     }
 
@@ -131,10 +130,10 @@
     }
 
     private static Duration deadline(RequestAttempt attempt) {
-        return attempt.arrived.plus(attempt.operation.clientTimeout()).minus(SAFETY_MARGIN);
+        return attempt.arrivedAt.plus(attempt.operation.clientTimeout()).minus(ANSWER_MARGIN);
     }
 
     private static Duration windowEnd(RequestAttempt attempt) {
-        return attempt.arrived.plus(attempt.operation.deduplicationWindow());
+        return attempt.arrivedAt.plus(attempt.operation.deduplicationWindow());
     }
 }
--- a/src/main/java/ochretiller/node/InvocationExecutor.java
+++ b/src/main/java/ochretiller/node/InvocationExecutor.java
@@ -12,10 +12,10 @@
 import ochretiller.model.RunOutcome.Status;
 
 /**
- * Takes each admitted invocation from its admission to its answer. A keyed one is first claimed in
- * the fleet, then marked as in flight on disk; the lease on this server's version is checked last,
- * and a backend executes it. Its outcome is stored on disk and in the fleet before its client is
- * answered. {@link RunState} has the order of these steps.
+ * Executes admitted invocations. A keyed invocation is claimed in the fleet, then marked as in
+ * flight on disk; after a last check of the lease on this server's version, a backend runs it. The
+ * outcome is stored on disk and in the fleet before the client is answered. {@link RunState}
+ * defines the order of these steps.
  *
  * <p>Event loop thread only.
  */
@@ -48,9 +48,9 @@
         new Execution(attempt, onOutcome).start();
     }
 
-    /** Asks the backend to stop a run; its outcome follows. */
+    /** Asks the backend to stop a run; the backend still reports the outcome. */
     void cancel(RequestAttempt attempt) {
-        backendOf(attempt).cancelRun(attempt.rid);
+        backendOf(attempt).cancelRun(attempt.requestId);
     }
 
     private RunBackend backendOf(RequestAttempt attempt) {
@@ -61,14 +61,14 @@
 
     /** The execution of one invocation. */
     private final class Execution implements ClaimListener, MarkerListener, RunBackend.RunListener {
-        /** The store on disk and the fleet. */
+        /** Each outcome is stored in two places: on disk and in the fleet. */
         private static final int OUTCOME_STORES = 2;
 
         private final RequestAttempt attempt;
         private final Consumer<RunOutcome> onOutcome;
         private RunState state = RunState.ADMITTED;
         private int pendingStores = OUTCOME_STORES;
-        private boolean outcomeReported;
+        private boolean isOutcomeReported;
 
         Execution(RequestAttempt attempt, Consumer<RunOutcome> onOutcome) {
             this.attempt = attempt;
@@ -78,19 +78,17 @@
         private void enter(RunState next) {
             if (!next.canFollow(state)) {
                 throw new IllegalStateException(
-                        "run " + attempt.rid + " cannot go from " + state + " to " + next);
+                        "run " + attempt.requestId + " cannot go from " + state + " to " + next);
             }
             state = next;
         }
 
         void start() {
-            attempt.runs(true);
+            attempt.setRunning(true);
             features.pools().reserveSlot(attempt.operation);
             if (!features.rollout().mayRun(attempt)) {
-                resources
-                        .scheduler()
-                        .post(this::abandon); // the admission controller is still at work on
-                // the start
+                // Posted, since the admission controller is still executing the start action.
+                resources.scheduler().post(this::abandon);
             } else if (attempt.operation.isKeyed()) {
                 enter(RunState.CLAIMING);
                 features.claims().claim(attempt, this);
@@ -116,8 +114,8 @@
 
         @Override
         public void onMarkerDurable() {
-            // Checked last: the server may have slept since it was admitted, and lost its lease or
-            // changed its version.
+            // Checked last, since the process may have been suspended since admission and lost its
+            // lease or changed its version meanwhile.
             if (features.rollout().mayRun(attempt)) {
                 dispatch();
                 return;
@@ -140,7 +138,7 @@
         private void abandon() {
             enter(RunState.NOT_DISPATCHED);
             features.pools().cancelReservation(attempt.operation);
-            attempt.runs(false);
+            attempt.setRunning(false);
             onOutcome.accept(new RunOutcome(Status.NOT_DISPATCHED, Duration.ZERO));
             attempts.forgetIfDone(attempt);
         }
@@ -150,20 +148,20 @@
             features.audit().recordRunStarted(attempt);
             RunRequest request =
                     new RunRequest(
-                            attempt.rid,
+                            attempt.requestId,
                             attempt.operation.name(),
                             attempt.body,
                             attempt.operation.isIdempotent(),
                             attempt.token,
-                            attempt.arrived.plus(attempt.operation.clientTimeout()));
+                            attempt.arrivedAt.plus(attempt.operation.clientTimeout()));
             backendOf(attempt).startRun(request, this);
         }
 
         @Override
         public void onRunFinished(Status status, Duration elapsed, byte[] result) {
             enter(RunState.STORING_OUTCOME);
-            resources.records().abandon(attempt.rid);
-            // Both stores hear of it in the same moment; the answer waits for both.
+            resources.records().cancel(attempt.requestId);
+            // Both stores write concurrently; the answer waits for both.
             features.idempotencyStore()
                     .onRunFinished(attempt, status, result, () -> onOutcomeStored(status, result));
             features.claims()
@@ -173,17 +171,17 @@
                             result,
                             stored -> {
                                 if (!stored) {
-                                    // A result that a retry at another server might not find is not
-                                    // reported as a success.
+                                    // A retry on another server might not find the result, so it
+                                    // must not be reported as a success.
                                     resources
                                             .connections()
                                             .fail(attempt, FailureReason.UNKNOWN_END);
                                 }
                                 onOutcomeStored(status, result);
                             });
-            // Reported although the answer may still wait: the backend has capacity again.
+            // Reported before the answer is sent, since the backend has free capacity again.
             onOutcome.accept(new RunOutcome(status, elapsed));
-            outcomeReported = true;
+            isOutcomeReported = true;
             attempts.forgetIfDone(attempt);
         }
 
@@ -196,16 +194,15 @@
 
         private void answer(Status status, byte[] result) {
             enter(RunState.ANSWERED);
-            attempt.runs(false);
+            attempt.setRunning(false);
             if (status == Status.SUCCEEDED) {
                 cache.complete(attempt.id, Optional.of(result), clock.now());
                 resources.connections().succeed(attempt, result);
             } else if (status != Status.NOT_DISPATCHED) {
-                // Also where it was stopped although nobody asked: a client that sent a request is
-                // never left unanswered.
+                // Includes runs that were stopped unasked: every client request gets an answer.
                 resources.connections().fail(attempt, FailureReason.FAILED);
             }
-            if (outcomeReported) {
+            if (isOutcomeReported) {
                 attempts.forgetIfDone(attempt);
             }
         }
--- a/src/main/java/ochretiller/node/OperatorConfigResolver.java
+++ b/src/main/java/ochretiller/node/OperatorConfigResolver.java
@@ -14,24 +14,24 @@
 import ochretiller.workers.WorkerPoolConfig;
 
 /**
- * Resolves the operations and servers that an operators' file names against the configuration, and
- * checks its bounds. Any thread.
+ * Resolves the operation and server names in an operators' file against the server configuration,
+ * and checks the file's limits. Any thread.
  */
 public final class OperatorConfigResolver {
     private static final Logger LOG = Logger.getLogger(OperatorConfigResolver.class.getName());
 
     /**
-     * Connections to workers may take this part of the file descriptors; those of clients may take
-     * half of them.
+     * Connections to workers may use the file descriptor limit divided by this number; client
+     * connections may use half of the limit.
      */
-    private static final int POOL_DESCRIPTORS_PART = 3;
+    private static final int POOL_DESCRIPTORS_DIVISOR = 3;
 
     private OperatorConfigResolver() {}
 
     /**
-     * Resolves everything without keeping it.
+     * Checks that an operators' file fits the configuration.
      *
-     * @throws MalformedException if something does not fit the configuration
+     * @throws MalformedException if a name is not configured or a limit is exceeded
      */
     public static void check(OperatorConfig operator, ServerConfiguration configuration) {
         uwsgiRoutes(operator, configuration);
@@ -40,21 +40,21 @@
     }
 
     /**
-     * Checks the settings of replication against the server's name and operations.
+     * Checks the replication settings against the server's name and operations.
      *
-     * @throws MalformedException if they do not fit
+     * @throws MalformedException if a voter has no voter file, or an operation is not configured
      */
     static void checkFleet(FleetSettings fleet, ServerConfiguration configuration) {
-        ReplicationSettings replication = fleet.copies();
+        ReplicationSettings replication = fleet.replication();
         if (replication == null) {
             return;
         }
-        if (replication.voters().contains(configuration.name())
-                && replication.voterFile() == null) {
+        if (replication.acceptors().contains(configuration.name())
+                && replication.acceptorFile() == null) {
             throw new MalformedException(
                     "fleet: " + configuration.name() + " is a voter and needs voter_file");
         }
-        for (String operation : replication.modes().byOperation().keySet()) {
+        for (String operation : replication.claimModes().modesByOperation().keySet()) {
             if (!configuration.operations().containsKey(operation)) {
                 throw new MalformedException("fleet: modes: no operation " + operation);
             }
@@ -62,9 +62,9 @@
     }
 
     /**
-     * Resolves the routes of the uwsgi frontend; overlapping ones are logged.
+     * Resolves the routes of the uwsgi frontend; overlapping routes are logged as warnings.
      *
-     * @throws MalformedException if a route names no operation or can never match
+     * @throws MalformedException if a route's operation is not configured, or it can never match
      */
     static List<Route> uwsgiRoutes(OperatorConfig operator, ServerConfiguration configuration) {
         if (operator.uwsgi().isEmpty()) {
@@ -79,7 +79,11 @@
                         "route " + route.path() + ": no operation " + route.operation());
             }
             routes.add(
-                    new Route(route.method(), PathPattern.of(route.path()), operation, route.kb()));
+                    new Route(
+                            route.method(),
+                            PathPattern.parse(route.path()),
+                            operation,
+                            route.memoryKb()));
         }
         Route.check(routes).forEach(LOG::warning);
         return routes;
@@ -88,25 +92,25 @@
     /**
      * Resolves the worker pools.
      *
-     * @throws MalformedException if a pool names no operation, or the pools may open too many
-     *     connections
+     * @throws MalformedException if a pool's operation is not configured, or the pools may open too
+     *     many connections
      */
     static List<WorkerPoolConfig> workerPoolConfigs(
             OperatorConfig operator, ServerConfiguration configuration) {
         Map<String, Operation> operations = configuration.operations();
         List<WorkerPoolConfig> configs = new ArrayList<>();
         long connections = 0;
-        for (OperatorConfig.Workers pool : operator.pools()) {
+        for (OperatorConfig.Pool pool : operator.pools()) {
             WorkerPoolConfig config = workerPoolConfig(pool, operations);
-            connections += config.connections();
+            connections += config.maxConnections();
             configs.add(config);
         }
-        if (connections > configuration.maxDescriptors() / POOL_DESCRIPTORS_PART) {
+        if (connections > configuration.maxDescriptors() / POOL_DESCRIPTORS_DIVISOR) {
             throw new MalformedException(
                     "the pools may open "
                             + connections
                             + " connections, over 1/"
-                            + POOL_DESCRIPTORS_PART
+                            + POOL_DESCRIPTORS_DIVISOR
                             + " of the "
                             + configuration.maxDescriptors()
                             + " descriptors: lower most_in_flight");
@@ -115,9 +119,9 @@
     }
 
     private static WorkerPoolConfig workerPoolConfig(
-            OperatorConfig.Workers pool, Map<String, Operation> operations) {
+            OperatorConfig.Pool pool, Map<String, Operation> operations) {
         List<WorkerPoolConfig.Target> targets = new ArrayList<>();
-        for (OperatorConfig.Run run : pool.runs()) {
+        for (OperatorConfig.Target run : pool.targets()) {
             if (!operations.containsKey(run.operation())) {
                 throw new MalformedException(
                         "pool " + pool.name() + ": no operation " + run.operation());
@@ -125,6 +129,10 @@
             targets.add(new WorkerPoolConfig.Target(run.operation(), run.method(), run.path()));
         }
         return new WorkerPoolConfig(
-                pool.name(), pool.settings(), pool.late(), pool.addresses(), List.copyOf(targets));
+                pool.name(),
+                pool.settings(),
+                pool.lateAnswerTime(),
+                pool.addresses(),
+                List.copyOf(targets));
     }
 }
--- a/src/main/java/ochretiller/node/PoolVersionApplier.java
+++ b/src/main/java/ochretiller/node/PoolVersionApplier.java
@@ -16,8 +16,8 @@
 
 /**
  * Applies the versions that a fleet rolls out. A version is an operators' file with worker pools;
- * without one the server acts on its own file. {@link #check} may be called on any thread, the rest
- * on the event loop thread.
+ * without a version the server uses its own file. {@link #check} may be called on any thread, the
+ * other methods on the event loop thread.
  */
 final class PoolVersionApplier implements VersionActivator {
     private final NodeSettings settings;
@@ -27,7 +27,7 @@
     /**
      * Creates an applier.
      *
-     * @param pools adopts pools; called on the event loop thread
+     * @param pools applies a new configuration of the pools; called on the event loop thread
      */
     PoolVersionApplier(
             NodeSettings settings, Consumer<List<WorkerPoolConfig>> pools, AuditTrail audit) {
@@ -40,25 +40,29 @@
         List<WorkerPoolConfig> configs =
                 OperatorConfigResolver.workerPoolConfigs(
                         operatorConfig(version), settings.configuration());
-        Set<String> present =
+        Set<String> startedPools =
                 settings.operator().pools().stream()
-                        .map(OperatorConfig.Workers::name)
+                        .map(OperatorConfig.Pool::name)
                         .collect(Collectors.toSet());
-        Set<String> wanted =
+        Set<String> versionPools =
                 configs.stream().map(WorkerPoolConfig::name).collect(Collectors.toSet());
-        if (!present.equals(wanted)) {
+        if (!startedPools.equals(versionPools)) {
             throw new MalformedException(
-                    "it has the pools " + wanted + ", and this server was started with " + present);
+                    "it has the pools "
+                            + versionPools
+                            + ", and this server was started with "
+                            + startedPools);
         }
         return configs;
     }
 
     private OperatorConfig operatorConfig(byte[] version) {
         if (version == null) {
-            return settings.operatorReload().get();
+            return settings.operatorConfigSupplier().get();
         }
         String text = new String(version, StandardCharsets.UTF_8);
-        return settings.operator().with(OperatorConfigReader.version(text, "the version"));
+        return settings.operator()
+                .withPools(OperatorConfigReader.parseVersion(text, "the version"));
     }
 
     @Override
@@ -72,7 +76,7 @@
     }
 
     @Override
-    public String become(byte[] version) {
+    public String activate(byte[] version) {
         List<WorkerPoolConfig> configs;
         try {
             configs = resolve(version);
@@ -84,12 +88,12 @@
     }
 
     @Override
-    public void told(RolloutEvent what, PublishedVersion version, String text) {
-        audit.recordRolloutEvent(what, version.number(), version.hash(), text);
+    public void recordEvent(RolloutEvent event, PublishedVersion version, String text) {
+        audit.recordRolloutEvent(event, version.number(), version.hash(), text);
     }
 
     @Override
-    public ChainHead audited() {
+    public ChainHead auditHead() {
         return audit.chainHead();
     }
 }
--- a/src/main/java/ochretiller/node/PreviousRuns.java
+++ b/src/main/java/ochretiller/node/PreviousRuns.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Consumer;
-import ochretiller.fleet.service.PreviousIncarnation;
+import ochretiller.fleet.service.PreviousRunLookup;
 import ochretiller.fleet.service.ReplicationService;
 import ochretiller.idempotency.durable.IdempotencyRecord;
 import ochretiller.idempotency.durable.InvocationProgress;
@@ -18,52 +18,50 @@
 import ochretiller.store.Store;
 
 /**
- * What previous processes of this server have left in the store. Retries of it are answered from
- * here until the admission controller knows it; the fleet may ask about it for as long as any of it
- * matters. Event loop thread only.
+ * Records of keyed invocations that previous processes of this server left in the store. Retries
+ * are answered from here until the admission controller has taken the records over; the fleet may
+ * query them until the longest window has ended. Event loop thread only.
  */
-final class PreviousRuns implements PreviousIncarnation {
+final class PreviousRuns implements PreviousRunLookup {
     private final Scheduler scheduler;
     private final Store store;
     private final StoredResults results;
 
-    /** What the admission controller does not know yet; the end of the earliest window first. */
-    private final Map<String, IdempotencyRecord> recovered = new LinkedHashMap<>();
+    /** Records not taken over by the admission controller, by key, earliest window end first. */
+    private final Map<String, IdempotencyRecord> recoveredRecords = new LinkedHashMap<>();
 
-    /** What the fleet may ask about. */
-    private final Map<String, IdempotencyRecord> retained = new HashMap<>();
+    /** Records that the fleet may query, by key. */
+    private final Map<String, IdempotencyRecord> retainedRecords = new HashMap<>();
 
-    /**
-     * Whether the store was read without damage, so that what it does not have was never started.
-     */
-    private final boolean storeComplete;
+    /** Whether the store was read without damage, so that a key without a record was never run. */
+    private final boolean isStoreComplete;
 
-    /** Takes over what the store has recovered. */
+    /** Decodes the entries that the store recovered. */
     PreviousRuns(Scheduler scheduler, Store store, StoredResults results) {
         this.scheduler = scheduler;
         this.store = store;
         this.results = results;
-        storeComplete = store.incompleteFor().isZero();
+        isStoreComplete = store.timeUntilComplete().isZero();
         for (RecoveredEntry entry : store.recoveredEntries()) {
             IdempotencyRecord.decode(entry.key(), entry.metadata())
-                    .ifPresent(record -> recovered.put(record.token(), record));
+                    .ifPresent(record -> recoveredRecords.put(record.token(), record));
         }
     }
 
-    /** Keeps everything for questions of the fleet, until the longest window of it is over. */
-    void retainForFleet(Duration recordLife) {
-        retained.putAll(recovered);
-        scheduler.after(recordLife, retained::clear);
+    /** Retains all records for the fleet's queries until the longest of their windows has ended. */
+    void retainForFleet(Duration recordLifetime) {
+        retainedRecords.putAll(recoveredRecords);
+        scheduler.runAfter(recordLifetime, retainedRecords::clear);
     }
 
     int size() {
-        return recovered.size();
+        return recoveredRecords.size();
     }
 
-    /** Returns how many runs have an unknown outcome. */
+    /** Returns the number of runs whose outcome is unknown. */
     long countInFlight() {
         long count = 0;
-        for (IdempotencyRecord record : recovered.values()) {
+        for (IdempotencyRecord record : recoveredRecords.values()) {
             if (record.progress() == InvocationProgress.IN_FLIGHT) {
                 count++;
             }
@@ -72,33 +70,34 @@
     }
 
     Optional<IdempotencyRecord> find(String token) {
-        return token == null ? Optional.empty() : Optional.ofNullable(recovered.get(token));
+        return token == null ? Optional.empty() : Optional.ofNullable(recoveredRecords.get(token));
     }
 
     List<IdempotencyRecord> takeAll() {
-        List<IdempotencyRecord> all = new ArrayList<>(recovered.values());
-        recovered.clear();
+        List<IdempotencyRecord> all = new ArrayList<>(recoveredRecords.values());
+        recoveredRecords.clear();
         return all;
     }
 
     /**
-     * Decides how retries of a previous run are answered, given how long ago the processor was
-     * started.
+     * Decides how retries of a previous run are answered.
+     *
+     * @param processorAge time since the start of the processor
      */
     RecoveryDecision recoveryDecision(IdempotencyRecord record, Duration processorAge) {
         RecoveryDecision decision =
                 RecoveryDecision.of(record, store.nowMillis() - processorAge.toMillis());
         if (decision == RecoveryDecision.REJECT) {
-            // Nobody will ever learn its outcome: the fleet need not wait for it either.
-            retained.replace(
+            // The outcome can no longer be learned, so the fleet must not wait for it either.
+            retainedRecords.replace(
                     record.token(), record.withProgress(InvocationProgress.ENDED_WITHOUT_RESULT));
         }
         return decision;
     }
 
-    /** Records the outcome of a previous run that has become known. */
-    void settle(IdempotencyRecord record, InvocationProgress outcome) {
-        retained.replace(record.token(), record.withProgress(outcome));
+    /** Records the outcome of a previous run that was still in flight when the store was read. */
+    void recordOutcome(IdempotencyRecord record, InvocationProgress outcome) {
+        retainedRecords.replace(record.token(), record.withProgress(outcome));
     }
 
     Duration remainingWindow(IdempotencyRecord record) {
@@ -107,16 +106,16 @@
 
     @Override
     public void lookUp(String token, Consumer<PreviousRun> onAnswer) {
-        IdempotencyRecord record = retained.get(token);
+        IdempotencyRecord record = retainedRecords.get(token);
         if (record == null) {
-            onAnswer.accept(storeComplete ? PreviousRun.NEVER : PreviousRun.UNKNOWN);
+            onAnswer.accept(isStoreComplete ? PreviousRun.NEVER_STARTED : PreviousRun.UNKNOWN);
             return;
         }
         switch (record.progress()) {
             case IN_FLIGHT -> onAnswer.accept(PreviousRun.UNKNOWN);
-            case ENDED_WITHOUT_RESULT -> onAnswer.accept(ended(record, null));
+            case ENDED_WITHOUT_RESULT -> onAnswer.accept(finishedRun(record, null));
             case SUCCEEDED -> {
-                PreviousRun known = ended(record, null);
+                PreviousRun finished = finishedRun(record, null);
                 results.read(
                         token,
                         result ->
@@ -124,20 +123,23 @@
                                         result.map(
                                                         bytes ->
                                                                 new PreviousRun(
-                                                                        known.kind(),
-                                                                        known.body(),
+                                                                        finished.progress(),
+                                                                        finished.fingerprint(),
                                                                         bytes,
-                                                                        known.windowEnds()))
+                                                                        finished.windowEnd()))
                                                 .orElse(PreviousRun.UNKNOWN)));
             }
             default -> throw new IllegalStateException("unknown progress " + record.progress());
         }
     }
 
-    private PreviousRun ended(IdempotencyRecord record, byte[] result) {
+    private PreviousRun finishedRun(IdempotencyRecord record, byte[] result) {
         String fingerprint =
                 ReplicationService.requestFingerprint(record.operation(), record.bodyDigest());
         return new PreviousRun(
-                Finding.ENDED, fingerprint, result, scheduler.now().plus(remainingWindow(record)));
+                Progress.COMPLETED,
+                fingerprint,
+                result,
+                scheduler.now().plus(remainingWindow(record)));
     }
 }
--- a/src/main/java/ochretiller/node/ServerActionsAdapter.java
+++ b/src/main/java/ochretiller/node/ServerActionsAdapter.java
@@ -16,8 +16,9 @@
 import ochretiller.server.ServerActions;
 
 /**
- * Carries out on this server what the admission controller decides: each method passes the action
- * on to the part that does it, and executes what the continuation returns. Event loop thread only.
+ * Executes the actions of the admission controller on this server: each method delegates to the
+ * component that performs the action, and executes the action that the continuation returns. Event
+ * loop thread only.
  */
 final class ServerActionsAdapter implements ServerActions {
     private static final Logger LOG = Logger.getLogger(ServerActionsAdapter.class.getName());
@@ -67,13 +68,13 @@
         resources
                 .records()
                 .call(
-                        attempt.rid,
+                        attempt.requestId,
                         timeout,
                         attempts.callBody(attempt),
                         (outcome, reply) -> {
                             if (outcome.status() == CallOutcome.Status.SUCCEEDED) {
                                 attempts.removeCallBody(attempt);
-                                resources.processor().answer(attempt.rid, reply);
+                                resources.processor().replyToCall(attempt.requestId, reply);
                             }
                             onOutcome.apply(outcome).execute(this);
                         });
@@ -81,9 +82,8 @@
 
     @Override
     public void skipCall(InvocationId id) {
-        // The settings of a real server never allow it: the processor's protocol has no message for
-        // it.
-        LOG.warning("cannot continue a run without its call id=" + id.value());
+        // Unreachable with a real server's settings: the processor protocol has no message for it.
+        LOG.warning("cannot skip the call of invocation " + id.value() + ": not supported");
     }
 
     @Override
@@ -107,10 +107,10 @@
     }
 
     @Override
-    public void throttle(InvocationId id, Duration retryAfter, boolean last) {
+    public void throttle(InvocationId id, Duration retryAfter, boolean isFinal) {
         Optional<RequestAttempt> found = attempts.find(id);
         if (found.isPresent()) {
-            resources.connections().throttle(found.get(), retryAfter, last);
+            resources.connections().throttle(found.get(), retryAfter, isFinal);
             attempts.forgetIfDone(found.get());
         }
     }
@@ -127,7 +127,7 @@
     private FailureReason failureReason(RequestAttempt attempt) {
         Optional<InvocationId> original = attempts.originalOf(attempt);
         if (!attempt.operation.isKeyed() || original.isEmpty()) {
-            return FailureReason.GIVEN_UP;
+            return FailureReason.DEADLINE_EXCEEDED;
         }
         return cache.isCompleted(original.get()) ? FailureReason.FAILED : FailureReason.IN_FLIGHT;
     }
@@ -140,29 +140,29 @@
     @Override
     public void putIdempotencyEntry(InvocationId id, Duration window) {
         RequestAttempt attempt = attempts.get(id);
-        cache.track(attempts.describe(attempt), attempt.body, clock.now().plus(window));
+        cache.track(attempts.toCacheAttempt(attempt), attempt.body, clock.now().plus(window));
     }
 
     @Override
     public void removeIdempotencyEntry(InvocationId id) {
-        cache.forget(id);
+        cache.discard(id);
     }
 
     @Override
     public void schedule(Duration delay, Function<ResourceGauges, Action> onTimer) {
         resources
                 .scheduler()
-                .after(
+                .runAfter(
                         delay,
                         () -> {
                             onTimer.apply(resources.processor().gauges()).execute(this);
-                            resources.processor().askGauges(); // for the timer that follows
+                            resources.processor().requestGauges(); // for the next timer
                         });
     }
 
     @Override
-    public void setHealth(boolean healthy, boolean stored) {
-        resources.health().set(healthy, stored);
+    public void setHealth(boolean healthy, boolean answersDeepChecks) {
+        resources.health().setStatus(healthy, answersDeepChecks);
     }
 
     @Override
@@ -172,7 +172,7 @@
 
     @Override
     public void setIdleTimeout(Duration timeout) {
-        resources.connections().idleAfter(timeout);
+        resources.connections().setIdleTimeout(timeout);
     }
 
     @Override
--- a/src/main/java/ochretiller/node/StartupRequestHandler.java
+++ b/src/main/java/ochretiller/node/StartupRequestHandler.java
@@ -12,18 +12,18 @@
 import ochretiller.net.Scheduler;
 
 /**
- * Handles requests before the processor is available. A retry of what a previous process has run is
- * answered from the store, or waits for the processor; everything else is rejected, since nothing
- * can run yet. Event loop thread only.
+ * Handles requests before the processor is available. A retry of an invocation that a previous
+ * process ran is answered from the store or waits for the processor; other requests are throttled,
+ * since nothing can run yet. Event loop thread only.
  */
 final class StartupRequestHandler implements RequestHandler {
-    /** A retry that waits for the processor is answered so long before its deadline. */
-    private static final Duration SAFETY_MARGIN = Duration.ofMillis(120);
+    /** Time before its deadline at which a retry that waits for the processor gets an error. */
+    private static final Duration ANSWER_MARGIN = Duration.ofMillis(120);
 
     private final Scheduler scheduler;
     private final ClientConnections connections;
     private final IdempotencyStore store;
-    private final List<RequestAttempt> waiting = new ArrayList<>();
+    private final List<RequestAttempt> waitingRetries = new ArrayList<>();
 
     StartupRequestHandler(
             Scheduler scheduler, ClientConnections connections, IdempotencyStore store) {
@@ -43,11 +43,11 @@
     }
 
     private void onRetryRead(RequestAttempt retry, IdempotencyRecord previous) {
-        boolean sameRequest =
+        boolean isSameRequest =
                 previous.operation().equals(retry.operation.name())
                         && previous.hasBodyDigest(IdempotencyCache.bodyDigest(retry.body));
-        if (!sameRequest) {
-            fail(retry, FailureReason.OTHER_BODY);
+        if (!isSameRequest) {
+            fail(retry, FailureReason.BODY_MISMATCH);
             return;
         }
         switch (previous.progress()) {
@@ -61,21 +61,21 @@
     private void answer(RequestAttempt retry, Optional<byte[]> result) {
         if (result.isPresent()) {
             connections.succeed(retry, result.get(), true);
-            connections.forget(retry);
+            connections.removeAttempt(retry);
         } else {
-            fail(retry, FailureReason.NO_RESULT);
+            fail(retry, FailureReason.RESULT_LOST);
         }
     }
 
     private void awaitProcessor(RequestAttempt retry) {
-        waiting.add(retry);
+        waitingRetries.add(retry);
         Duration deadline =
-                retry.arrived.plus(retry.operation.clientTimeout()).minus(SAFETY_MARGIN);
+                retry.arrivedAt.plus(retry.operation.clientTimeout()).minus(ANSWER_MARGIN);
         Duration wait = deadline.minus(scheduler.now());
-        scheduler.after(
+        scheduler.runAfter(
                 wait.isNegative() ? Duration.ZERO : wait,
                 () -> {
-                    if (waiting.remove(retry)) {
+                    if (waitingRetries.remove(retry)) {
                         fail(retry, FailureReason.UNKNOWN_END);
                     }
                 });
@@ -83,23 +83,23 @@
 
     private void fail(RequestAttempt retry, FailureReason reason) {
         connections.fail(retry, reason);
-        connections.forget(retry);
+        connections.removeAttempt(retry);
     }
 
-    /** Hands over the retries that wait for the processor. */
-    List<RequestAttempt> takeWaiting() {
-        List<RequestAttempt> taken = List.copyOf(waiting);
-        waiting.clear();
-        return taken;
+    /** Removes and returns the retries that wait for the processor. */
+    List<RequestAttempt> takeWaitingRetries() {
+        List<RequestAttempt> allWaiting = List.copyOf(waitingRetries);
+        waitingRetries.clear();
+        return allWaiting;
     }
 
     @Override
-    public void onClientGone(RequestAttempt attempt) {
-        // a retry that waits is dropped with its deadline
+    public void onClientDisconnected(RequestAttempt attempt) {
+        // a waiting retry is removed at its deadline
     }
 
     @Override
     public void onShutdownNotice(Duration killAfter) {
-        // nothing runs
+        // there are no runs to wait for
     }
 }
--- a/src/main/java/ochretiller/pools/RequestOutcome.java
+++ b/src/main/java/ochretiller/pools/RequestOutcome.java
@@ -1,17 +1,17 @@
 package ochretiller.pools;
 
-/** How a request to a worker ended, as far as the choice of workers depends on it. */
+/** How a request to a worker ended, as far as it matters for choosing workers. */
 public enum RequestOutcome {
-    /** The worker answered, whatever the answer says about the request. */
+    /** The worker answered, with or without success of the request itself. */
     ANSWERED("ANSWERED"),
     /** The worker reported a failure, or its answer was malformed: the request may have run. */
     FAILED("FAILED"),
-    /** No answer came in time: the request may have run. */
-    SILENT("SILENT"),
+    /** No answer arrived in time: the request may have run. */
+    TIMED_OUT("SILENT"),
     /** The request was cancelled before its deadline: it may have run. */
-    GIVEN_UP("GIVEN_UP"),
+    CANCELLED("GIVEN_UP"),
     /** No connection was established, or nothing was written: the request never ran. */
-    NEVER_BEGUN("NEVER_BEGUN");
+    NEVER_STARTED("NEVER_BEGUN");
 
     private final String externalName;
 
@@ -19,18 +19,18 @@
         this.externalName = externalName;
     }
 
-    /** The word in log lines, which does not follow the name of the constant. */
+    /** Returns the name in log lines, which stays the same if the constant is renamed. */
     public String externalName() {
         return externalName;
     }
 
-    /** Whether another worker may get the request, which never ran. */
-    public boolean mayGoElsewhere() {
-        return this == NEVER_BEGUN;
+    /** Returns whether another worker may get the request, because it never ran. */
+    public boolean mayRetryElsewhere() {
+        return this == NEVER_STARTED;
     }
 
-    /** Whether the worker counts as healthy by this. */
-    boolean good() {
+    /** Returns whether this counts as a success of the worker. */
+    boolean isSuccess() {
         return this == ANSWERED;
     }
 }
--- a/src/main/java/ochretiller/store/AppendQueue.java
+++ b/src/main/java/ochretiller/store/AppendQueue.java
@@ -9,14 +9,14 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * The bounded queue between callers and the writer thread, and the admission check in front of it.
- * Callers, one at a time, offer; the writer thread polls and reports what it has worked off.
+ * The bounded queue between callers and the writer thread, with an admission check. One caller at a
+ * time offers tasks; the writer thread polls them and releases their capacity.
  */
 final class AppendQueue {
-    /** Most tasks: some seconds' worth where one arrives each millisecond. */
+    /** Maximum number of queued tasks: several seconds' worth at one task per millisecond. */
     private static final int MAX_TASKS = 16 * 1024;
 
-    /** Most bytes of records that wait for the disk. */
+    /** Maximum total size of the records that wait for the disk. */
     private static final long MAX_QUEUED_BYTES = 8L << 20;
 
     private final StoreLimits limits;
@@ -25,7 +25,7 @@
     private final AtomicLong queuedBytes = new AtomicLong();
     private volatile boolean closing;
 
-    /** What may be taken by stored and queued records together. */
+    /** Limits on the totals of stored and queued records. */
     private record Bounds(long entries, long bytes, long indexBytes) {}
 
     AppendQueue(StoreLimits limits) {
@@ -35,8 +35,8 @@
     /**
      * Queues an append.
      *
-     * @param stats what is stored already
-     * @return empty where it was queued, else why not
+     * @param stats statistics of what is already stored
+     * @return empty if the append was queued, otherwise why it was rejected
      */
     Optional<AppendResult> offer(AppendRequest request, StoreStats stats) {
         Optional<AppendResult> rejection = check(request, stats);
@@ -48,7 +48,7 @@
         if (tasks.offer(request)) {
             return Optional.empty();
         }
-        workedOff(List.of(request));
+        release(List.of(request));
         return Optional.of(AppendResult.QUEUE_FULL);
     }
 
@@ -61,18 +61,18 @@
         }
         boolean fits =
                 request.isNewKey()
-                        ? hasRoomForNewKey(stats)
-                        : hasRoomForKnownKey(request.recordBytes(), stats);
+                        ? hasCapacityForNewKey(stats)
+                        : hasCapacityForExistingKey(request.recordBytes(), stats);
         return fits ? Optional.empty() : Optional.of(AppendResult.CAPACITY_EXCEEDED);
     }
 
-    /** Queues something other than an append; false where the queue is full. */
+    /** Queues a task other than an append; returns false if the queue is full. */
     boolean offerCall(WriterTask.EngineCall call) {
         return tasks.offer(call);
     }
 
-    /** Whether one more key fits without touching the reserve that is kept for known keys. */
-    boolean hasRoomForNewKey(StoreStats stats) {
+    /** Returns whether one more key fits without using the reserve for existing keys. */
+    boolean hasCapacityForNewKey(StoreStats stats) {
         Bounds withoutReserve =
                 new Bounds(
                         limits.maxEntries() - limits.maxEntries() / StoreLimits.RESERVE_DIVISOR,
@@ -82,8 +82,8 @@
         return fits(RecordFormat.MAX_KEY_BYTES, withoutReserve, stats);
     }
 
-    private boolean hasRoomForKnownKey(int recordBytes, StoreStats stats) {
-        // Its key is counted among the entries already, so they may be as many as the bound says.
+    private boolean hasCapacityForExistingKey(int recordBytes, StoreStats stats) {
+        // Its key is already counted, so the number of entries may equal the limit.
         return fits(
                 recordBytes,
                 new Bounds(limits.maxEntries() + 1L, limits.maxBytes(), limits.maxIndexBytes()),
@@ -102,31 +102,37 @@
                 && indexBytes <= bounds.indexBytes();
     }
 
-    /** Waits for the next task; empty where none comes in time. */
+    /**
+     * Waits for the next task; empty if none arrives within the timeout. Does not wait after {@link
+     * #close}.
+     */
     Optional<WriterTask> poll(long timeoutMillis) throws InterruptedException {
         return Optional.ofNullable(
                 closing ? tasks.poll() : tasks.poll(timeoutMillis, TimeUnit.MILLISECONDS));
     }
 
-    /** Moves all waiting tasks into the list, oldest first. */
+    /** Moves all queued tasks to the end of the list, oldest first. */
     void drainTo(List<WriterTask> batch) {
         tasks.drainTo(batch);
     }
 
-    /** Tasks that wait. */
+    /** Number of queued tasks. */
     int size() {
         return tasks.size();
     }
 
-    /** These appends no longer wait; what became of them is in the store's figures by now. */
-    void workedOff(List<AppendRequest> requests) {
+    /**
+     * Releases the capacity of appends that are no longer queued; the store's statistics already
+     * include those that were written.
+     */
+    void release(List<AppendRequest> requests) {
         for (AppendRequest request : requests) {
             queuedBytes.addAndGet(-request.recordBytes());
             queuedNewKeys.addAndGet(request.isNewKey() ? -1 : 0);
         }
     }
 
-    /** No further append is taken; what waits is worked off. */
+    /** Rejects further appends; queued tasks are still processed. */
     void close() {
         closing = true;
     }
--- a/src/main/java/ochretiller/store/StoreCounters.java
+++ b/src/main/java/ochretiller/store/StoreCounters.java
@@ -1,8 +1,8 @@
 package ochretiller.store;
 
 /**
- * Counts what a store has done since it was opened. Owned by the thread that owns the {@link
- * Index}; read through {@link StoreStats}.
+ * Counts the operations of a store since it was opened. Confined to the thread that owns the {@link
+ * Index}; published as {@link StoreStats}.
  */
 final class StoreCounters {
     private long forces;
@@ -13,25 +13,25 @@
     private long expiredSegments;
     private long diskFailures;
 
-    void forced() {
+    void countForce() {
         forces++;
     }
 
-    void appended(int records, int bytes) {
+    void countGroupCommit(int records, int bytes) {
         appendedRecords += records;
         appendedBytes += bytes;
         largestGroupCommit = Math.max(largestGroupCommit, records);
     }
 
-    void compacted(long bytes) {
+    void countCompactedBytes(long bytes) {
         compactedBytes += bytes;
     }
 
-    void segmentExpired() {
+    void countExpiredSegment() {
         expiredSegments++;
     }
 
-    void diskFailed() {
+    void countDiskFailure() {
         diskFailures++;
     }
 
--- a/src/main/java/ochretiller/text/Json.java
+++ b/src/main/java/ochretiller/text/Json.java
@@ -10,11 +10,11 @@
 import java.util.Map;
 
 /**
- * A JSON parser (RFC 8259) that makes maps, lists, strings, Long for whole numbers, Double for
- * other numbers, Boolean and {@link #NULL}. One instance parses one text.
+ * A JSON parser (RFC 8259) that returns maps, lists, strings, Long for integers of at most 18
+ * characters, Double for other numbers, Boolean and {@link #NULL}. One instance parses one text.
  */
 public final class Json {
-    /** JSON's null, to tell it from a member that is absent. */
+    /** Represents a JSON null, which differs from an absent member. */
     public static final Object NULL =
             new Object() {
                 @Override
@@ -23,18 +23,18 @@
                 }
             };
 
-    /** Deepest nesting: each level takes a stack frame. */
-    private static final int DEEPEST = 32;
+    /** Maximum nesting depth; parsing a level takes several stack frames. */
+    private static final int MAX_DEPTH = 32;
 
     private final byte[] bytes;
     private final int end;
     private int at;
     private int depth;
 
-    /** The members of the outermost object that were parsed completely. */
+    /** The completely parsed members of the outermost object. */
     private final Map<String, Object> members = new LinkedHashMap<>();
 
-    /** A parser of this text in UTF-8. */
+    /** Creates a parser for a text in UTF-8. */
     public Json(Slice text) {
         bytes = text.bytes();
         at = text.from();
@@ -42,26 +42,26 @@
     }
 
     /**
-     * Parses the text, which holds one value.
+     * Parses the text, which must consist of exactly one value.
      *
-     * @throws BadInputException where it is malformed
+     * @throws BadInputException if the text is malformed
      */
-    public Object read() {
-        Object value = value();
+    public Object parse() {
+        Object value = parseValue();
         skipBlanks();
         if (at < end) {
-            throw bad("more behind the value");
+            throw malformed("more behind the value");
         }
         return value;
     }
 
-    /** The members of the outermost object parsed so far, also after a failure of {@link #read}. */
+    /** Returns the outermost object's members parsed so far, even if {@link #parse} has failed. */
     public Map<String, Object> members() {
         return members;
     }
 
-    private BadInputException bad(String what) {
-        return new BadInputException(what + " at byte " + at);
+    private BadInputException malformed(String problem) {
+        return new BadInputException(problem + " at byte " + at);
     }
 
     private void skipBlanks() {
@@ -74,49 +74,49 @@
         }
     }
 
-    private int next() {
+    private int peek() {
         skipBlanks();
         return at < end ? bytes[at] : 0;
     }
 
-    private void take(char wanted) {
-        if (next() != wanted) {
-            throw bad("no '" + wanted + "'");
+    private void expect(char expected) {
+        if (peek() != expected) {
+            throw malformed("no '" + expected + "'");
         }
         at++;
     }
 
-    private Object value() {
-        switch (next()) {
+    private Object parseValue() {
+        switch (peek()) {
             case '{':
-                return object();
+                return parseObject();
             case '[':
-                return list();
+                return parseList();
             case '"':
-                return string();
+                return parseString();
             case 't':
-                return word("true", Boolean.TRUE);
+                return parseLiteral("true", Boolean.TRUE);
             case 'f':
-                return word("false", Boolean.FALSE);
+                return parseLiteral("false", Boolean.FALSE);
             case 'n':
-                return word("null", NULL);
+                return parseLiteral("null", NULL);
             default:
-                return number();
+                return parseNumber();
         }
     }
 
-    private Object word(String word, Object meaning) {
+    private Object parseLiteral(String word, Object value) {
         for (int i = 0; i < word.length(); i++, at++) {
             if (at >= end || bytes[at] != word.charAt(i)) {
-                throw bad("unknown word");
+                throw malformed("unknown word");
             }
         }
-        return meaning;
+        return value;
     }
 
     private void enter() {
-        if (++depth > DEEPEST) {
-            throw bad("nested too deep");
+        if (++depth > MAX_DEPTH) {
+            throw malformed("nested too deep");
         }
         at++;
     }
@@ -126,59 +126,59 @@
         at++;
     }
 
-    private Map<String, Object> object() {
+    private Map<String, Object> parseObject() {
         Map<String, Object> object = depth == 0 ? members : new LinkedHashMap<>();
         enter();
-        for (boolean first = true; next() != '}'; first = false) {
+        for (boolean first = true; peek() != '}'; first = false) {
             if (!first) {
-                take(',');
+                expect(',');
             }
-            if (next() != '"') {
-                throw bad("no name");
+            if (peek() != '"') {
+                throw malformed("no name");
             }
-            String name = string();
-            take(':');
-            object.put(name, value());
+            String name = parseString();
+            expect(':');
+            object.put(name, parseValue());
         }
         leave();
         return object;
     }
 
-    private List<Object> list() {
+    private List<Object> parseList() {
         List<Object> list = new ArrayList<>();
         enter();
-        for (boolean first = true; next() != ']'; first = false) {
+        for (boolean first = true; peek() != ']'; first = false) {
             if (!first) {
-                take(',');
+                expect(',');
             }
-            list.add(value());
+            list.add(parseValue());
         }
         leave();
         return list;
     }
 
-    private String string() {
+    private String parseString() {
         int from = ++at;
-        boolean plain = true;
+        boolean isPlainAscii = true;
         while (at < end && bytes[at] != '"') {
             if (bytes[at] >= 0 && bytes[at] < ' ') {
-                throw bad("a control character in a string");
+                throw malformed("a control character in a string");
             }
-            plain &= bytes[at] > 0 && bytes[at] != '\\';
+            isPlainAscii &= bytes[at] > 0 && bytes[at] != '\\';
             at += bytes[at] == '\\' ? 2 : 1;
         }
         if (at >= end) {
-            throw bad("a string without its end");
+            throw malformed("a string without its end");
         }
-        String raw =
-                plain
+        String text =
+                isPlainAscii
                         ? new String(bytes, from, at - from, StandardCharsets.ISO_8859_1)
-                        : decoded(from);
+                        : decodeString(from);
         at++;
-        return raw;
+        return text;
     }
 
-    private String decoded(int from) {
+    private String decodeString(int from) {
         String raw;
         try {
             raw =
@@ -188,7 +188,7 @@
                             .decode(ByteBuffer.wrap(bytes, from, at - from))
                             .toString();
         } catch (CharacterCodingException e) {
-            throw bad("a string that is not UTF-8");
+            throw malformed("a string that is not UTF-8");
         }
         if (raw.indexOf('\\') < 0) {
             return raw;
@@ -201,22 +201,22 @@
                 continue;
             }
             char escape = raw.charAt(++i);
-            int plain = "\"\\/bfnrt".indexOf(escape);
-            if (plain >= 0) {
-                out.append("\"\\/\b\f\n\r\t".charAt(plain));
+            int index = "\"\\/bfnrt".indexOf(escape);
+            if (index >= 0) {
+                out.append("\"\\/\b\f\n\r\t".charAt(index));
             } else if (escape == 'u'
                     && raw.length() >= i + 5
                     && raw.substring(i + 1, i + 5).matches("[0-9a-fA-F]+")) {
                 out.append((char) Integer.parseInt(raw.substring(i + 1, i + 5), 16));
                 i += 4;
             } else {
-                throw bad("unknown escape");
+                throw malformed("unknown escape");
             }
         }
         return out.toString();
     }
 
-    private boolean digits() {
+    private boolean skipDigits() {
         int from = at;
         while (at < end && bytes[at] >= '0' && bytes[at] <= '9') {
             at++;
@@ -224,35 +224,35 @@
         return at > from;
     }
 
-    private Object number() {
+    private Object parseNumber() {
         int from = at;
         if (at < end && bytes[at] == '-') {
             at++;
         }
         int first = at;
-        if (!digits() || bytes[first] == '0' && at > first + 1) {
-            throw bad("no value");
+        if (!skipDigits() || bytes[first] == '0' && at > first + 1) {
+            throw malformed("no value");
         }
-        boolean whole = true;
+        boolean isInteger = true;
         if (at < end && bytes[at] == '.') {
             at++;
-            whole = false;
-            if (!digits()) {
-                throw bad("no digits");
+            isInteger = false;
+            if (!skipDigits()) {
+                throw malformed("no digits");
             }
         }
         if (at < end && (bytes[at] == 'e' || bytes[at] == 'E')) {
             at++;
-            whole = false;
+            isInteger = false;
             if (at < end && (bytes[at] == '+' || bytes[at] == '-')) {
                 at++;
             }
-            if (!digits()) {
-                throw bad("no digits");
+            if (!skipDigits()) {
+                throw malformed("no digits");
             }
         }
         String text = new String(bytes, from, at - from, StandardCharsets.ISO_8859_1);
-        return whole && text.length() < 19
+        return isInteger && text.length() < 19
                 ? (Object) Long.valueOf(text)
                 : (Object) Double.valueOf(text);
     }
--- a/src/main/java/ochretiller/workers/WorkerConnection.java
+++ b/src/main/java/ochretiller/workers/WorkerConnection.java
@@ -11,13 +11,13 @@
 import ochretiller.uwsgi.UwsgiResponseDecoder;
 
 /**
- * One connection to a worker, which carries one request. Belongs to the event loop, except for
- * {@link #received}.
+ * One connection to a worker, which carries one request. Confined to the event loop thread, except
+ * for {@link #decode}.
  */
 final class WorkerConnection implements ConnectionHandler {
     private static final Logger LOG = Logger.getLogger(UwsgiRunBackend.class.getName());
 
-    /** As long as a result on the connection to the processor. */
+    /** Maximum size of an answer, the same as for a result of the processor. */
     private static final int MAX_ANSWER_BYTES = 64 * 1024;
 
     private final WorkerRun run;
@@ -28,26 +28,26 @@
     private boolean awaitsLateAnswer;
 
     /**
-     * A connection that was established. Called on the I/O thread.
+     * Wraps an established connection. Called on the I/O thread.
      *
-     * @param attempt the number of the run's attempt that asked for it
+     * @param attempt the number of the attempt of the run that opened the connection
      */
     WorkerConnection(
             WorkerRun run,
             int attempt,
             Connection connection,
             UwsgiRunBackend backend,
-            Scheduler schedule) {
+            Scheduler scheduler) {
         this.run = run;
         this.attempt = attempt;
         this.connection = connection;
         this.backend = backend;
-        schedule.post(this::opened);
+        scheduler.post(this::onEstablished);
     }
 
-    private void opened() {
-        if (!connection.open()) {
-            return; // its end is reported next
+    private void onEstablished() {
+        if (!connection.isOpen()) {
+            return; // the network reports the end of the connection next
         }
         backend.add(this);
         run.onConnected(this);
@@ -63,24 +63,24 @@
         }
     }
 
-    /** Keeps the connection of a timed-out run for some time, to count a late answer. */
-    void awaitLateAnswer(Scheduler schedule) {
+    /** Keeps the connection of a timed-out run open for a while, to count a late answer. */
+    void awaitLateAnswer(Scheduler scheduler) {
         awaitsLateAnswer = true;
-        run.pool().lateListeners++;
-        schedule.after(run.pool().lateAnswerTime(), () -> drop(CloseCode.GIVEN_UP));
+        run.pool().lateAnswerConnections++;
+        scheduler.runAfter(run.pool().lateAnswerTime(), () -> drop(CloseCode.GIVEN_UP));
     }
 
-    /** Closes the connection at once. */
+    /** Closes the connection immediately. */
     void drop(CloseCode code) {
-        if (connection.open()) {
+        if (connection.isOpen()) {
             connection.drop(code);
         }
     }
 
     @Override
-    public Runnable received(byte[] bytes, int from, int to) {
+    public Runnable decode(byte[] bytes, int from, int to) {
         try {
-            UwsgiResponse answer = decoder.read(bytes, from, to);
+            UwsgiResponse answer = decoder.decode(bytes, from, to);
             return answer == null ? null : () -> onAnswer(answer);
         } catch (UwsgiException e) {
             String fault = e.getMessage();
@@ -89,29 +89,29 @@
     }
 
     private void onMalformedAnswer(String fault) {
-        if (!connection.open()) {
+        if (!connection.isOpen()) {
             return;
         }
-        LOG.warning("bad answer from worker " + run.workerName() + ": " + fault);
+        LOG.warning("malformed response from worker " + run.workerName() + ": " + fault);
         connection.drop(CloseCode.BAD_INPUT);
     }
 
     private void onAnswer(UwsgiResponse answer) {
-        if (!connection.open()) {
+        if (!connection.isOpen()) {
             return;
         }
         if (!run.isServedBy(this)) {
-            connection.drop(CloseCode.BAD_INPUT); // nothing was asked on this connection
+            connection.drop(CloseCode.BAD_INPUT); // no request was written on this connection
             return;
         }
         run.onAnswer(answer);
         connection.close(CloseCode.ANSWERED);
     }
 
-    /** An answer without a length ends with the connection. */
+    /** Handles the end of the input, which completes an answer without a content length. */
     @Override
-    public void inputEnded() {
-        UwsgiResponse answer = run.isServedBy(this) ? decoder.ended() : null;
+    public void onInputEnded() {
+        UwsgiResponse answer = run.isServedBy(this) ? decoder.finish() : null;
         if (answer != null) {
             run.onAnswer(answer);
         }
@@ -119,10 +119,10 @@
     }
 
     @Override
-    public void ended(CloseCode code) {
+    public void onClosed(CloseCode code) {
         backend.remove(this);
         if (awaitsLateAnswer) {
-            run.pool().lateListeners--;
+            run.pool().lateAnswerConnections--;
         }
         if (run.isServedBy(this)) {
             run.onDisconnected();
--- a/src/main/java/ochretiller/workers/WorkerPool.java
+++ b/src/main/java/ochretiller/workers/WorkerPool.java
@@ -15,79 +15,79 @@
 import ochretiller.pools.WorkerSelector;
 
 /**
- * A pool of workers with their addresses and its metrics. Belongs to the event loop; metrics are
- * read by any thread.
+ * A pool of workers with their addresses and its metrics. Confined to the event loop thread, except
+ * that metrics are read by any thread.
  */
 final class WorkerPool {
     /**
-     * How many connections of timed-out runs are kept open to count late answers: enough to tell
-     * whether there are any.
+     * Maximum connections of timed-out runs that are kept open to count late answers; a few are
+     * enough to show that late answers occur.
      */
-    static final int MAX_LATE_LISTENERS = 16;
+    static final int MAX_LATE_ANSWER_CONNECTIONS = 16;
 
     private static final Logger LOG = Logger.getLogger(WorkerPool.class.getName());
 
-    /** The pool's name in the operators' configuration. */
+    /** The pool's name in the operators' file. */
     final String name;
 
-    /** Runs that were handed to workers. */
-    final Metrics.Counter runs;
+    /** Runs that were started, including those that no worker could take. */
+    final Metrics.Counter startedRuns;
 
-    /** Runs that were tried on another worker, since the first had not started them. */
-    final Metrics.Counter retriedElsewhere;
+    /** Runs that were retried on another worker because the first one never started them. */
+    final Metrics.Counter retriedRuns;
 
     /** Runs that no worker could take. */
-    final Metrics.Counter neverStarted;
+    final Metrics.Counter neverStartedRuns;
 
     /** Runs that failed, or whose answer was malformed. */
-    final Metrics.Counter failed;
+    final Metrics.Counter failedRuns;
 
-    /** Runs without an answer in time. */
-    final Metrics.Counter timedOut;
+    /** Runs that were not answered in time. */
+    final Metrics.Counter timedOutRuns;
 
-    /** Answers that came after their run had timed out. */
+    /** Answers that arrived after their run had timed out. */
     final Metrics.Counter lateAnswers;
 
-    /** How many runs were admitted and are not started yet; each will need a slot. */
+    /** Number of runs that are admitted but not started; a slot is reserved for each. */
     int expectedRuns;
 
-    /** How many connections of timed-out runs are open for late answers. */
-    int lateListeners;
+    /** Number of connections of timed-out runs that are kept open for late answers. */
+    int lateAnswerConnections;
 
     private final WorkerSelector selector;
 
-    /** Addresses of the configured workers, and of drained ones that have a request in flight. */
+    /** Addresses of the configured workers, and of draining ones with requests in flight. */
     private final Map<WorkerId, InetSocketAddress> addresses = new LinkedHashMap<>();
 
     private Duration lateAnswerTime;
 
-    /** For the metrics' thread. */
+    /** The last computed capacity; read by the metrics thread. */
     private volatile int capacity;
 
-    /** The free slots at {@link #freeSlotsAt}: they are asked for many times in one round. */
+    /** The free slots at {@link #freeSlotsAt}, cached as one event loop round reads them often. */
     private int freeSlots;
 
     private Optional<Duration> freeSlotsAt = Optional.empty();
 
-    /** An empty pool; {@link #reconfigure} follows. */
+    /** Creates a pool without workers; {@link #reconfigure} adds them. */
     WorkerPool(WorkerPoolConfig config, SplittableRandom random, Metrics metrics) {
         name = config.name();
-        lateAnswerTime = config.late();
+        lateAnswerTime = config.lateAnswerTime();
         selector = new WorkerSelector(config.settings(), random);
         String prefix = "pool_" + name + "_";
-        runs = metrics.counter(prefix + "runs_total", "Runs that were handed to workers");
-        retriedElsewhere =
+        startedRuns = metrics.counter(prefix + "runs_total", "Runs that were handed to workers");
+        retriedRuns =
                 metrics.counter(
                         prefix + "second_tries_total",
                         "Runs tried on another worker, the first not having begun");
-        neverStarted =
+        neverStartedRuns =
                 metrics.counter(
                         prefix + "not_begun_total",
                         "Runs that no worker could take; they are throttled");
-        failed =
+        failedRuns =
                 metrics.counter(
                         prefix + "failed_total", "Runs that failed, or whose answer was spoilt");
-        timedOut = metrics.counter(prefix + "silent_total", "Runs without an answer in time");
+        timedOutRuns = metrics.counter(prefix + "silent_total", "Runs without an answer in time");
         lateAnswers =
                 metrics.counter(
                         prefix + "late_answers_total",
@@ -95,11 +95,11 @@
         metrics.gauge(prefix + "places", "Runs that its workers may have at once", () -> capacity);
     }
 
-    /** Takes new settings and workers; removed workers finish what they have. */
+    /** Changes settings and workers; removed workers finish their requests in flight. */
     void reconfigure(WorkerPoolConfig config, Duration now) {
         freeSlotsAt = Optional.empty();
-        lateAnswerTime = config.late();
-        selector.become(config.settings());
+        lateAnswerTime = config.lateAnswerTime();
+        selector.reconfigure(config.settings());
         List<WorkerId> ids = new ArrayList<>();
         for (InetSocketAddress address : config.workers()) {
             WorkerId id =
@@ -107,69 +107,69 @@
             ids.add(id);
             addresses.put(id, address);
         }
-        selector.become(ids, now);
+        selector.reconfigure(ids, now);
         addresses.keySet().removeIf(id -> !ids.contains(id) && selector.inFlight(id) == 0);
     }
 
-    /** How long after its deadline the answer of a keyed run is still awaited. */
+    /** Returns how long after its deadline the answer of a keyed run is still awaited. */
     Duration lateAnswerTime() {
         return lateAnswerTime;
     }
 
-    /** Notes whether the fleet's membership shows a worker as reachable. */
-    void observe(WorkerId id, boolean isReachable) {
-        selector.seen(id, isReachable);
+    /** Records whether the fleet's membership shows a worker as reachable. */
+    void setReachable(WorkerId id, boolean isReachable) {
+        selector.setReachable(id, isReachable);
     }
 
     InetSocketAddress addressOf(WorkerId id) {
         return addresses.get(id);
     }
 
-    /** How many runs the workers may have at once, as they are now. */
+    /** Returns the maximum of concurrent runs on the workers in their current state. */
     int capacity(Duration now) {
-        int current = selector.places(now);
+        int current = selector.capacity(now);
         capacity = current;
         return current;
     }
 
-    /** How many more runs the workers can take; negative where too many were admitted. */
+    /** Returns how many more runs the workers can take; negative if too many are admitted. */
     int freeSlots(Duration now) {
         if (!Optional.of(now).equals(freeSlotsAt)) {
-            freeSlots = selector.free(now);
+            freeSlots = selector.freeSlots(now);
             freeSlotsAt = Optional.of(now);
         }
         return freeSlots - expectedRuns;
     }
 
-    /** Chooses the worker for a run, which counts as in flight until {@link #requestEnded}. */
+    /** Chooses the worker for a run, which counts as in flight until {@link #onRequestEnded}. */
     Optional<WorkerId> choose(Duration now) {
         freeSlotsAt = Optional.empty();
         return selector.choose(now);
     }
 
-    /** Chooses another worker for a run that provably never started on the one before. */
-    Optional<WorkerId> chooseForRetry(WorkerId before, RequestOutcome outcome, Duration now) {
+    /** Chooses another worker for a run that provably never started on the previous one. */
+    Optional<WorkerId> chooseForRetry(WorkerId previous, RequestOutcome outcome, Duration now) {
         freeSlotsAt = Optional.empty();
-        return selector.chooseAgain(before, outcome, now);
+        return selector.chooseForRetry(previous, outcome, now);
     }
 
-    /** A request to a worker is over; logs whether that ejects the worker or readmits it. */
-    void requestEnded(WorkerId id, RequestOutcome outcome, Duration elapsed, Duration now) {
+    /** Records the end of a request; logs if it causes the worker to be ejected or readmitted. */
+    void onRequestEnded(WorkerId id, RequestOutcome outcome, Duration elapsed, Duration now) {
         freeSlotsAt = Optional.empty();
-        boolean wasIn = selector.in(id);
-        selector.ended(id, outcome, elapsed, now);
-        boolean isIn = selector.in(id);
-        if (wasIn && !isIn) {
+        boolean wasActive = selector.isActive(id);
+        selector.onRequestEnded(id, outcome, elapsed, now);
+        boolean isActive = selector.isActive(id);
+        if (wasActive && !isActive) {
             LOG.warning(
                     "pool "
                             + name
-                            + " leaves out worker "
+                            + " ejects worker "
                             + id
-                            + ", last end: "
+                            + "; outcome of its last request: "
                             + outcome.externalName());
         }
-        if (!wasIn && isIn) {
-            LOG.info("pool " + name + " lets worker " + id + " in again");
+        if (!wasActive && isActive) {
+            LOG.info("pool " + name + " readmits worker " + id);
         }
         capacity(now);
     }
--- a/src/test/java/ochretiller/ManualEventLoop.java
+++ b/src/test/java/ochretiller/ManualEventLoop.java
@@ -8,19 +8,19 @@
 import ochretiller.net.Scheduler;
 
 /**
- * The one thread's work in the hands of a test: nothing of it is done, and no time passes, until
- * the test says so.
+ * An event loop that a test drives by hand: no task runs and no time passes until the test calls
+ * the method for it. Tasks may be posted on any thread.
  */
 public final class ManualEventLoop implements Scheduler {
-    private static final long LONGEST_S = 10;
+    private static final long MAX_WAIT_S = 10;
 
-    private final LinkedBlockingQueue<Runnable> posted = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<Runnable> postedTasks = new LinkedBlockingQueue<>();
     private final PriorityQueue<Timer> timers =
-            new PriorityQueue<>(Comparator.comparing(Timer::at).thenComparing(Timer::number));
+            new PriorityQueue<>(Comparator.comparing(Timer::dueAt).thenComparing(Timer::sequence));
     private volatile Duration now = Duration.ofSeconds(100);
-    private long numbers;
+    private long lastSequence;
 
-    private record Timer(Duration at, long number, Runnable work) {}
+    private record Timer(Duration dueAt, long sequence, Runnable work) {}
 
     @Override
     public Duration now() {
@@ -29,55 +29,56 @@
 
     @Override
     public void post(Runnable work) {
-        posted.add(work);
+        postedTasks.add(work);
     }
 
     @Override
-    public void after(Duration span, Runnable work) {
-        timers.add(new Timer(now.plus(span), ++numbers, work));
+    public void runAfter(Duration span, Runnable work) {
+        timers.add(new Timer(now.plus(span), ++lastSequence, work));
     }
 
-    /** Waits until so many pieces of work stand ready, and does none of them. */
-    public void await(int pieces) throws InterruptedException {
-        for (long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(LONGEST_S);
-                posted.size() < pieces;
+    /** Waits until at least this many tasks are posted, without running them. */
+    public void awaitPosted(int count) throws InterruptedException {
+        for (long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(MAX_WAIT_S);
+                postedTasks.size() < count;
                 Thread.onSpinWait()) {
-            if (System.nanoTime() > until) {
-                throw new AssertionError(posted.size() + " pieces of work, not " + pieces);
+            if (System.nanoTime() > deadline) {
+                throw new AssertionError(
+                        "posted tasks: " + postedTasks.size() + ", expected: " + count);
             }
         }
     }
 
-    /** Waits for the next piece of work and does it. */
-    public void one() throws InterruptedException {
-        Runnable work = posted.poll(LONGEST_S, TimeUnit.SECONDS);
+    /** Waits for the next posted task and runs it. */
+    public void runNext() throws InterruptedException {
+        Runnable work = postedTasks.poll(MAX_WAIT_S, TimeUnit.SECONDS);
         if (work == null) {
-            throw new AssertionError("no work came");
+            throw new AssertionError("no task was posted within " + MAX_WAIT_S + " s");
         }
         work.run();
     }
 
-    /** Does what stands ready. */
-    public void all() {
-        for (Runnable work = posted.poll(); work != null; work = posted.poll()) {
+    /** Runs all posted tasks, including those posted meanwhile. */
+    public void runPosted() {
+        for (Runnable work = postedTasks.poll(); work != null; work = postedTasks.poll()) {
             work.run();
         }
     }
 
-    /** Lets time pass, with the timers that fall due in it; what stands ready is not done. */
-    public void due(Duration span) {
+    /** Advances the time and runs the timers that fall due, but no posted tasks. */
+    public void advanceTimers(Duration span) {
         Duration end = now.plus(span);
-        while (!timers.isEmpty() && timers.peek().at.compareTo(end) <= 0) {
-            now = timers.peek().at;
+        while (!timers.isEmpty() && timers.peek().dueAt.compareTo(end) <= 0) {
+            now = timers.peek().dueAt;
             timers.poll().work.run();
         }
         now = end;
     }
 
-    /** Does what stands ready, and lets time pass. */
-    public void pass(Duration span) {
-        all();
-        due(span);
-        all();
+    /** Advances the time and runs all due timers, and the posted tasks before and after them. */
+    public void advance(Duration span) {
+        runPosted();
+        advanceTimers(span);
+        runPosted();
     }
 }
--- a/src/test/java/ochretiller/ServeIT.java
+++ b/src/test/java/ochretiller/ServeIT.java
@@ -17,20 +17,20 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The packaged program over sockets, as gateways, a processor, a records service and a roster see
- * it.
+ * Tests the packaged program over sockets, with a test gateway and fakes of the processor, the
+ * records service and the registry.
  */
 class ServeIT {
     private static final String TOKEN = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
     private Deployment deployment;
     private FakeConnection gateway;
-    private int rids;
+    private int lastRid;
 
     @BeforeEach
     void start() throws Exception {
         deployment = new Deployment();
-        await(deployment.heard, "usage fence");
-        gateway = deployment.dial();
+        await(deployment.received, "usage fence");
+        gateway = deployment.connect();
     }
 
     @AfterEach
@@ -42,7 +42,7 @@
     }
 
     private String rid() {
-        return rid(++rids);
+        return rid(++lastRid);
     }
 
     private static String rid(int number) {
@@ -53,13 +53,13 @@
         return Base64.getEncoder().encodeToString(text.getBytes());
     }
 
-    private String params(String body, String more) {
+    private String params(String body, String extraMembers) {
         return "{\"rid\":\""
                 + rid()
                 + "\",\"t0\":"
                 + System.currentTimeMillis()
                 + ",\"peer\":4,\"mem\":24.5,\"prio\":0.5,"
-                + more
+                + extraMembers
                 + "\"data\":\""
                 + base64(body)
                 + "\"}";
@@ -74,7 +74,7 @@
     }
 
     private void expectResult(long id, String result) throws IOException {
-        assertThat(gateway.line())
+        assertThat(gateway.readLine())
                 .startsWith(
                         "{\"jsonrpc\":\"2.0\",\"id\":"
                                 + id
@@ -84,79 +84,79 @@
     }
 
     private void expectError(long id, int code) throws IOException {
-        assertThat(gateway.line())
+        assertThat(gateway.readLine())
                 .startsWith(
                         "{\"jsonrpc\":\"2.0\",\"id\":" + id + ",\"error\":{\"code\":" + code + ",");
     }
 
-    /** The same server still serves a good request on a new connection. */
-    private void expectServes() throws IOException {
+    /** Expects that the server still answers a valid request on a new connection. */
+    private void expectServerStillServes() throws IOException {
         gateway.close();
-        gateway = deployment.dial();
+        gateway = deployment.connect();
         gateway.send(read(1, "good"));
-        expectResult(1, "result of " + rid(rids));
+        expectResult(1, "result of " + rid(lastRid));
     }
 
-    /** The connection ends without a line, and the log has one with its code. */
+    /** Expects that the connection is closed without further output, and logged with the code. */
     private void expectClosed(String code) throws IOException {
-        assertThat(gateway.line()).isNull();
+        assertThat(gateway.readLine()).isNull();
         await(deployment.log, "connection gateway .* ended: " + code + "$");
     }
 
     @Test
-    void succeedsWithTheBytesOfTheRun() throws IOException {
+    void successfulRunIsAnsweredWithItsResult() throws IOException {
         gateway.send(read(7, "good"));
         expectResult(7, "result of " + rid(1));
     }
 
     @Test
-    void answersInTheOrderOfTheEnds() throws IOException {
+    void requestsAreAnsweredInTheOrderInWhichRunsEnd() throws IOException {
         gateway.send(read(1, "wait") + read(2, "good"));
         expectResult(2, "result of " + rid(2));
-        deployment.outside.complete(rid(1), "late");
+        deployment.services.complete(rid(1), "late");
         expectResult(1, "late");
     }
 
     @Test
-    void failedRunIsErrored() throws IOException {
+    void failedRunIsAnsweredWithAnError() throws IOException {
         gateway.send(read(1, "bad"));
         expectError(1, -32000);
     }
 
     @Test
-    void lateArrivalIsThrottledWithoutARun() throws IOException {
+    void requestThatArrivesLateIsThrottledWithoutARun() throws IOException {
         gateway.send(
                 read(1, "good")
                         .replaceFirst(
                                 "\"t0\":\\d+", "\"t0\":" + (System.currentTimeMillis() - 3_000)));
-        assertThat(gateway.line())
+        assertThat(gateway.readLine())
                 .contains("\"code\":-32014")
                 .contains("\"backoff\":")
                 .contains("\"final\":1");
-        assertThat(deployment.heard).noneMatch(line -> line.startsWith("begin"));
+        assertThat(deployment.received).noneMatch(line -> line.startsWith("begin"));
     }
 
     @Test
-    void repeatIsAnsweredFromTheRunOfTheFirst() throws IOException {
+    void retryIsAnsweredWithTheResultOfTheFirstRun() throws IOException {
         gateway.send(order(1, "good"));
         expectResult(1, "result of " + rid(1));
         gateway.send(order(2, "good"));
         expectResult(2, "result of " + rid(1));
-        assertThat(deployment.heard).filteredOn(line -> line.startsWith("begin")).hasSize(1);
+        assertThat(deployment.received).filteredOn(line -> line.startsWith("begin")).hasSize(1);
     }
 
     @Test
-    void repeatReadTogetherWithTheFirstWaitsForIt() throws IOException {
+    void retryReadTogetherWithTheOriginalWaitsForItsRun() throws IOException {
         gateway.send(order(1, "wait") + order(2, "wait"));
-        await(deployment.heard, "begin " + rid(1));
-        deployment.outside.complete(rid(1), "one");
+        await(deployment.received, "begin " + rid(1));
+        deployment.services.complete(rid(1), "one");
         expectResult(1, "one");
         expectResult(2, "one");
-        assertThat(deployment.heard).noneMatch(line -> line.startsWith("begin"));
+        assertThat(deployment.received).noneMatch(line -> line.startsWith("begin"));
     }
 
     @Test
-    void repeatOfAFailedRunIsErroredAndNeverRuns() throws IOException {
+    void retryOfAFailedRunIsAnsweredWithAnErrorAndNeverRuns() throws IOException {
         gateway.send(order(1, "bad"));
         expectError(1, -32000);
         gateway.send(order(2, "bad"));
@@ -164,107 +164,107 @@
     }
 
     @Test
-    void abortOwesNoAnswerAndStopsAnIdempotentRun() throws IOException {
+    void abortedRequestIsNotAnsweredAndItsIdempotentRunIsCancelled() throws IOException {
         gateway.send(read(1, "wait"));
-        await(deployment.heard, "begin " + rid(1));
+        await(deployment.received, "begin " + rid(1));
         gateway.send("{\"jsonrpc\":\"2.0\",\"method\":\"abort\",\"params\":{\"id\":1}}\n");
-        await(deployment.heard, "interrupt " + rid(1));
-        deployment.outside.notice("complete", rid(1) + " cancelled 5 0\r\n\r\n");
+        await(deployment.received, "interrupt " + rid(1));
+        deployment.services.sendNotice("complete", rid(1) + " cancelled 5 0\r\n\r\n");
         gateway.send(read(2, "good"));
         expectResult(2, "result of " + rid(2));
     }
 
     @Test
-    void resetWithRequestsOpenStopsTheirRuns() throws IOException {
+    void resetConnectionCancelsTheRunsOfItsRequests() throws IOException {
         gateway.send(read(1, "wait"));
-        await(deployment.heard, "begin " + rid(1));
+        await(deployment.received, "begin " + rid(1));
         gateway.reset();
-        await(deployment.heard, "interrupt " + rid(1));
+        await(deployment.received, "interrupt " + rid(1));
         await(deployment.log, "connection gateway .* ended: BROKEN");
-        expectServes();
+        expectServerStillServes();
     }
 
     @Test
-    void halfClosedConnectionGetsWhatItIsOwed() throws IOException {
+    void openRequestOnAHalfClosedConnectionIsAnswered() throws IOException {
         gateway.send(read(1, "wait"));
-        await(deployment.heard, "begin " + rid(1));
+        await(deployment.received, "begin " + rid(1));
         gateway.halfClose();
-        deployment.outside.complete(rid(1), "owed");
+        deployment.services.complete(rid(1), "owed");
         expectResult(1, "owed");
         expectClosed("PEER_CLOSED");
     }
 
     @Test
-    void replyOfACallGoesToTheRun() throws IOException {
+    void replyToACallIsSentToTheRun() throws IOException {
         gateway.send(read(1, "call DONE"));
         expectResult(1, "after reply");
-        assertThat(await(deployment.heard, "^OP")).matches("OP " + rid(1) + " \\d+ 9");
+        assertThat(await(deployment.received, "^OP")).matches("OP " + rid(1) + " \\d+ 9");
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"ERROR", "PAST", "cut"})
-    void callThatMayHaveRunIsNotRepeated(String ending) throws IOException {
+    void callThatMayHaveRunIsNotRetried(String ending) throws IOException {
         gateway.send(read(1, "call " + ending));
         expectError(1, -32000);
-        await(deployment.heard, "^OP");
-        assertThat(deployment.heard).noneMatch(line -> line.startsWith("OP"));
+        await(deployment.received, "^OP");
+        assertThat(deployment.received).noneMatch(line -> line.startsWith("OP"));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"WAIT", "EMPTY"})
-    void callThatNeverRanIsMadeAgain(String ending) throws IOException {
+    void callThatNeverRanIsRetried(String ending) throws IOException {
         gateway.send(read(1, "call " + ending));
-        await(deployment.heard, "^OP");
-        await(deployment.heard, "^OP");
+        await(deployment.received, "^OP");
+        await(deployment.received, "^OP");
     }
 
     @Test
-    void callGivenUpIsToldToTheRecords() throws IOException {
+    void timedOutCallIsCancelledAtTheRecordsService() throws IOException {
         gateway.send(read(1, "call silence"));
-        await(deployment.heard, "^UNOP " + rid(1));
+        await(deployment.received, "^UNOP " + rid(1));
         expectError(1, -32000);
     }
 
     @Test
-    void callToRefusingRecordsIsMadeAgain() throws IOException {
-        int port = deployment.outside.recordsPort();
-        deployment.outside.closeRecords();
+    void callIsRetriedWhenTheRecordsServiceRefusesConnections() throws IOException {
+        int port = deployment.services.recordsPort();
+        deployment.services.closeRecordsService();
         gateway.send(read(1, "call DONE"));
         await(deployment.log, "connection link .* ended: REFUSED");
-        deployment.outside.openRecords(port);
+        deployment.services.openRecordsService(port);
         expectResult(1, "after reply");
     }
 
     @Test
-    void runThatEndsWithoutALinkIsHeardOfOnTheNext() throws IOException {
+    void endOfARunWhileDisconnectedIsReceivedAfterTheReconnect() throws IOException {
         gateway.send(order(1, "wait"));
-        await(deployment.heard, "begin " + rid(1));
-        deployment.outside.greeting =
+        await(deployment.received, "begin " + rid(1));
+        deployment.services.greeting =
                 "hi hot 3600000\r\ncomplete 1 " + rid(1) + " complete 5 4\r\nkept\r\n";
-        deployment.outside.link.reset();
-        await(deployment.heard, "hello 0");
+        deployment.services.processorLink.reset();
+        await(deployment.received, "hello 0");
         expectResult(1, "kept");
-        assertThat(deployment.heard).noneMatch(line -> line.startsWith("begin"));
+        assertThat(deployment.received).noneMatch(line -> line.startsWith("begin"));
     }
 
     @Test
-    void runThatAnOldLinkLostIsBegunAgain() throws IOException {
+    void runThatMayHaveBeenLostIsStartedAgainAfterTheReconnect() throws IOException {
         gateway.send(read(1, "wait"));
-        await(deployment.heard, "begin " + rid(1));
-        deployment.outside.link.reset();
-        await(deployment.heard, "begin " + rid(1));
-        deployment.outside.complete(rid(1), "again");
+        await(deployment.received, "begin " + rid(1));
+        deployment.services.processorLink.reset();
+        await(deployment.received, "begin " + rid(1));
+        deployment.services.complete(rid(1), "again");
         expectResult(1, "again");
     }
 
     @Test
-    void tokenedRunIsNotBegunAgainWhereNoticesAreLost() throws IOException {
+    void keyedRunIsNotStartedAgainIfNoticesAreLost() throws IOException {
         gateway.send(order(1, "wait"));
-        await(deployment.heard, "begin " + rid(1));
-        deployment.outside.greeting = "hi hot 3600000\r\nremark 9 lost\r\n";
-        deployment.outside.link.reset();
+        await(deployment.received, "begin " + rid(1));
+        deployment.services.greeting = "hi hot 3600000\r\nremark 9 lost\r\n";
+        deployment.services.processorLink.reset();
         expectError(1, -32000);
-        assertThat(deployment.heard).noneMatch(line -> line.startsWith("begin"));
+        assertThat(deployment.received).noneMatch(line -> line.startsWith("begin"));
     }
 
     @ParameterizedTest
@@ -282,55 +282,55 @@
                 "no line end\n",
                 "hi hot never\r\n"
             })
-    void badInputRebuildsTheLinkAndAnswersOnce(String input) throws IOException {
+    void badInputFromTheProcessorCausesAReconnectAndOneAnswer(String input) throws IOException {
         gateway.send(read(1, "wait"));
-        await(deployment.heard, "begin " + rid(1));
-        deployment.outside.link.send(input.replace("ID", rid(1)));
-        await(deployment.heard, "begin " + rid(1));
+        await(deployment.received, "begin " + rid(1));
+        deployment.services.processorLink.send(input.replace("ID", rid(1)));
+        await(deployment.received, "begin " + rid(1));
         await(deployment.log, "connection link .* ended: BAD_INPUT");
-        deployment.outside.complete(rid(1), "once");
+        deployment.services.complete(rid(1), "once");
         expectResult(1, "once");
-        expectServes();
+        expectServerStillServes();
     }
 
     @Test
-    void noticesForNobodyAndOldOnesDoNothing() throws IOException {
+    void unknownAndRepeatedNoticesAreIgnored() throws IOException {
         gateway.send(read(1, "wait"));
-        await(deployment.heard, "begin " + rid(1));
-        deployment.outside.complete(rid(99), "nobody");
-        deployment.outside.link.send(
+        await(deployment.received, "begin " + rid(1));
+        deployment.services.complete(rid(99), "nobody");
+        deployment.services.processorLink.send(
                 "complete 1 "
                         + rid(1)
                         + " complete 5 3\r\nold\r\nreject answer "
                         + rid(1)
                         + "\r\n");
-        deployment.outside.complete(rid(1), "new");
+        deployment.services.complete(rid(1), "new");
         expectResult(1, "new");
     }
 
     @Test
-    void rejectedTryIsErroredAndLeavesItsTokenToTheNext() throws IOException {
+    void rejectedBeginIsAnsweredWithAnErrorAndTheRetryRuns() throws IOException {
         gateway.send(order(1, "wait"));
-        await(deployment.heard, "begin " + rid(1));
+        await(deployment.received, "begin " + rid(1));
         gateway.send(order(2, "good") + order(3, "good"));
-        deployment.outside.link.send("reject begin " + rid(1) + "\r\n");
+        deployment.services.processorLink.send("reject begin " + rid(1) + "\r\n");
         expectError(1, -32000);
         expectResult(2, "result of " + rid(2));
         expectResult(3, "result of " + rid(2));
     }
 
     @Test
-    void otherBodyUnderOneTokenIsErroredAndNeverRuns() throws IOException {
+    void otherBodyWithTheSameTokenIsAnsweredWithAnErrorAndNeverRuns() throws IOException {
         gateway.send(order(1, "wait"));
-        await(deployment.heard, "begin " + rid(1));
+        await(deployment.received, "begin " + rid(1));
         gateway.send(order(2, "good"));
         expectError(2, -32000);
-        deployment.outside.complete(rid(1), "mine");
+        deployment.services.complete(rid(1), "mine");
         expectResult(1, "mine");
         gateway.send(order(3, "good") + order(4, "wait"));
         expectError(3, -32000);
         expectResult(4, "mine");
-        assertThat(deployment.heard).noneMatch(line -> line.startsWith("begin"));
+        assertThat(deployment.received).noneMatch(line -> line.startsWith("begin"));
     }
 
     @ParameterizedTest
@@ -341,10 +341,10 @@
                 "0000000000000001 DONE x",
                 "0000000000000001 HM"
             })
-    void badInputOfTheRecordsEndsTheCallOnce(String reply) throws IOException {
+    void badInputFromTheRecordsServiceEndsTheCallOnce(String reply) throws IOException {
         gateway.send(read(1, "call silence"));
-        await(deployment.heard, "^OP");
-        deployment.outside.calls.send(reply + "\r\n");
+        await(deployment.received, "^OP");
+        deployment.services.recordsConnection.send(reply + "\r\n");
         expectError(1, -32000);
         await(deployment.log, "connection link .* ended: BAD_INPUT");
         gateway.send(read(2, "call DONE"));
@@ -352,136 +352,133 @@
     }
 
     @Test
-    void healthIsGoodAndCarriesTheFreeValue() throws IOException {
+    void healthCheckReportsAHealthyServer() throws IOException {
         gateway.send(message(1, "ping", "{\"full\":true}"));
-        assertThat(gateway.line())
+        assertThat(gateway.readLine())
                 .startsWith("{\"jsonrpc\":\"2.0\",\"id\":1,\"result\":{\"green\":true");
     }
 
     @Test
-    void drainAnswersAllAndEnds() throws Exception {
+    void drainAnswersAllRequestsAndExits() throws Exception {
         gateway.send(read(1, "wait"));
-        await(deployment.heard, "begin " + rid(1));
+        await(deployment.received, "begin " + rid(1));
         deployment.terminate();
         await(deployment.reports, "HERE n1 off");
         deployment.terminate();
         gateway.send(message(2, "ping", "{}"));
-        assertThat(gateway.line()).contains("\"green\":false");
-        deployment.outside.complete(rid(1), "late");
+        assertThat(gateway.readLine()).contains("\"green\":false");
+        deployment.services.complete(rid(1), "late");
         expectResult(1, "late");
         String answer = "\"result\"";
         for (int id = 3; answer.contains("\"result\""); id++) {
-            gateway.send(read(id, "good")); // until the grace is over
-            answer = gateway.line();
+            gateway.send(read(id, "good")); // until the grace period ends
+            answer = gateway.readLine();
         }
         assertThat(answer)
                 .contains("\"code\":-32014")
                 .contains("\"backoff\":1000")
                 .doesNotContain("final");
-        deployment.dial().close(); // it still listens: who comes is told to go on to others
-        assertThat(gateway.line()).isEqualTo("{\"jsonrpc\":\"2.0\",\"method\":\"shutdown\"}");
-        assertThat(deployment.exit()).isZero();
+        deployment.connect().close(); // the server still listens, to send clients elsewhere
+        assertThat(gateway.readLine()).isEqualTo("{\"jsonrpc\":\"2.0\",\"method\":\"shutdown\"}");
+        assertThat(deployment.awaitExit()).isZero();
         await(deployment.log, "connection gateway .* ended: LEAVING");
     }
 
     @Test
-    void drainAnswersWhatStillRunsBeforeTheKill() throws Exception {
+    void drainAnswersPendingRequestsBeforeTheShutdownTimeout() throws Exception {
         gateway.send(read(1, "wait"));
-        await(deployment.heard, "begin " + rid(1));
+        await(deployment.received, "begin " + rid(1));
         deployment.terminate();
-        assertThat(gateway.line()).contains("\"shutdown\"");
+        assertThat(gateway.readLine()).contains("\"shutdown\"");
         expectError(1, -32000);
-        assertThat(deployment.exit()).isZero();
+        assertThat(deployment.awaitExit()).isZero();
     }
 
     @Test
-    void pauseOfTheMachineNeitherLosesNorDoublesAnAnswer() throws Exception {
+    void pauseOfTheProcessNeitherLosesNorRepeatsAnAnswer() throws Exception {
         gateway.send(read(1, "wait"));
-        await(deployment.heard, "begin " + rid(1));
+        await(deployment.received, "begin " + rid(1));
         deployment.signal("STOP");
-        deployment.outside.complete(rid(1), "once");
+        deployment.services.complete(rid(1), "once");
         gateway.send(read(2, "good"));
-        Thread.sleep(500); // the pause itself: timers fall due in it
+        Thread.sleep(500); // the length of the pause, during which timers become due
         deployment.signal("CONT");
         expectResult(1, "once");
         expectResult(2, "result of " + rid(2));
-        expectServes();
+        expectServerStillServes();
     }
 
     @Test
-    void newConfigurationMovesAllLinksWhileRunsGoOnAndABadOneIsNotTaken() throws Exception {
+    void reloadMovesAllConnectionsDuringARunAndAnInvalidConfigurationIsIgnored() throws Exception {
         gateway.send(read(1, "wait"));
-        await(deployment.heard, "begin " + rid(1));
-        deployment.outside.closeRecords();
-        deployment.move(json -> json.replace("\"n1\"", "\"n2\""));
+        await(deployment.received, "begin " + rid(1));
+        deployment.services.closeRecordsService();
+        deployment.moveServices(json -> json.replace("\"n1\"", "\"n2\""));
         deployment.signal("HUP");
-        await(deployment.heard, "hello 0");
-        await(deployment.heard, "begin " + rid(1)); // what the old link may have lost is said again
+        await(deployment.received, "hello 0");
+        await(deployment.received, "begin " + rid(1)); // may have been lost, so it is repeated
         await(deployment.log, "connection link .* ended: MOVED");
-        deployment.outside.complete(rid(1), "moved");
+        deployment.services.complete(rid(1), "moved");
         expectResult(1, "moved");
         gateway.send(read(2, "call DONE"));
         expectResult(2, "after reply");
         deployment.reports.clear();
-        await(deployment.reports, "HERE n1 on"); // a server keeps its name
-        for (String wrong : List.of("{", "{}")) {
-            deployment.move(json -> wrong);
+        await(deployment.reports, "HERE n1 on"); // a reload does not change the name
+        for (String invalid : List.of("{", "{}")) {
+            deployment.moveServices(json -> invalid);
             deployment.signal("HUP");
-            await(deployment.log, "WARNING stays with its configuration: ");
+            await(deployment.log, "WARNING configuration not reloaded, keeping the current one: ");
         }
         gateway.send(read(3, "call DONE"));
         expectResult(3, "after reply");
     }
 
     @Test
-    void spoiltReplyEndsNoOtherCall() throws IOException {
+    void malformedReplyEndsNoOtherCall() throws IOException {
         gateway.send(read(1, "call silence"));
-        await(deployment.heard, "^OP");
-        FakeConnection good = deployment.outside.calls;
+        await(deployment.received, "^OP");
+        FakeConnection firstCallConnection = deployment.services.recordsConnection;
         gateway.send(read(2, "call silence"));
-        await(deployment.heard, "^OP");
-        deployment.outside.calls.send("\u00e1\u0007 noise\r\n");
+        await(deployment.received, "^OP");
+        deployment.services.recordsConnection.send("\u00e1\u0007 noise\r\n");
         expectError(2, -32000);
-        good.send(rid(7) + " DONE 4\r\nelse\r\n" + (rid(1) + " DONE 4\r\nmine\r\n").repeat(2));
+        firstCallConnection.send(
+                rid(7) + " DONE 4\r\nelse\r\n" + (rid(1) + " DONE 4\r\nmine\r\n").repeat(2));
         expectResult(1, "after mine");
         gateway.send(read(3, "call DONE"));
         expectResult(3, "after reply");
     }
 
     @Test
-    void reportsToTheRoster() {
+    void reportsPeriodicallyToTheRegistry() {
         await(deployment.reports, "HERE n1 on");
         await(deployment.reports, "HERE n1 on");
     }
 
-    /**
-     * The word that nothing more may come, and the end of the connection where its caller does not
-     * end it.
-     */
-    private static void expectTold(FakeConnection wire) throws IOException {
-        assertThat(wire.line()).isEqualTo("{\"jsonrpc\":\"2.0\",\"method\":\"shutdown\"}");
-        assertThat(wire.line()).isNull();
+    /** Expects the shutdown message, followed by the close of the connection. */
+    private static void expectShutdown(FakeConnection client) throws IOException {
+        assertThat(client.readLine()).isEqualTo("{\"jsonrpc\":\"2.0\",\"method\":\"shutdown\"}");
+        assertThat(client.readLine()).isNull();
     }
 
     @Test
-    void connectionThatHasShownNothingIsClosedSoonAndAnotherLater() throws IOException {
-        FakeConnection other = deployment.dial();
+    void silentConnectionIsClosedBeforeAnIdleOne() throws IOException {
+        FakeConnection other = deployment.connect();
         other.send(message(1, "ping", "{}"));
         gateway.send(read(1, "good").substring(0, 40));
-        expectTold(gateway);
+        expectShutdown(gateway);
         await(deployment.log, "connection gateway .* ended: SILENT$");
-        assertThat(other.line()).contains("\"green\":true");
-        expectTold(other);
-        await(
-                deployment.log,
-                "connection gateway .* ended: IDLE"); // after the two seconds of the settings
+        assertThat(other.readLine()).contains("\"green\":true");
+        expectShutdown(other);
+        // The idle timeout is 2 s.
+        await(deployment.log, "connection gateway .* ended: IDLE");
     }
 
     @Test
-    void requestThatCrossesTheWordOfARestingConnectionIsAnswered() throws IOException {
+    void requestInTransitOnAnIdleConnectionIsAnswered() throws IOException {
         gateway.send(message(1, "ping", "{}"));
-        assertThat(gateway.line()).contains("\"green\":true");
-        assertThat(gateway.line()).contains("\"shutdown\"");
+        assertThat(gateway.readLine()).contains("\"green\":true");
+        assertThat(gateway.readLine()).contains("\"shutdown\"");
         gateway.send(read(2, "good"));
         expectResult(2, "result of " + rid(1));
         gateway.halfClose();
@@ -489,16 +486,16 @@
     }
 
     @Test
-    void goodRequestsBeforeAndOpenBesideUnreadableInputAreAnswered() throws IOException {
+    void openRequestsAndThoseBeforeUnparsableInputAreAnswered() throws IOException {
         gateway.send(read(1, "wait"));
-        await(deployment.heard, "begin " + rid(1));
+        await(deployment.received, "begin " + rid(1));
         gateway.send(read(2, "good") + "not JSON\n" + read(3, "good") + "x".repeat(5_000));
         expectResult(2, "result of " + rid(2));
-        deployment.outside.complete(rid(1), "owed");
+        deployment.services.complete(rid(1), "owed");
         expectResult(1, "owed");
         expectClosed("BAD_INPUT");
-        assertThat(deployment.heard).noneMatch(line -> line.startsWith("begin " + rid(3)));
-        expectServes();
+        assertThat(deployment.received).noneMatch(line -> line.startsWith("begin " + rid(3)));
+        expectServerStillServes();
     }
 
     @ParameterizedTest
@@ -518,10 +515,11 @@
                 "{\"jsonrpc\":\"2.0\",\"id\":5,\"method\":\"ping\",\"params\":{\"full\":\"yes\"}}|-32602",
                 "{\"jsonrpc\":\"2.0\",\"id\":5,\"method\":\"read\",\"params\":{\"more\":1e999}}|-32602"
             })
-    void badMessageWithAnIdGetsTheStandardError(String input, int code) throws IOException {
+    void invalidMessageWithAnIdIsAnsweredWithTheStandardError(String input, int code)
+            throws IOException {
         gateway.send(input + "\n");
         expectError(5, code);
-        gateway.send(read(6, "good")); // and the connection goes on
+        gateway.send(read(6, "good")); // the connection stays open
         expectResult(6, "result of " + rid(1));
     }
 
@@ -545,33 +543,33 @@
         "obj,\"7f\"",
         "token,\"7f\""
     })
-    void wrongParameterIsNamed(String name, String value) throws IOException {
-        String good = params("good", "\"token\":\"" + TOKEN + "\",\"obj\":\"7f3a9c21e0b4d655\",");
+    void invalidParameterIsNamed(String name, String value) throws IOException {
+        String valid = params("good", "\"token\":\"" + TOKEN + "\",\"obj\":\"7f3a9c21e0b4d655\",");
         gateway.send(
                 message(
                         5,
                         "order",
-                        good.replaceFirst(
+                        valid.replaceFirst(
                                 "\"" + name + "\":(\"[^\"]*\"|[^,}]*)",
                                 "\"" + name + "\":" + value)));
-        assertThat(gateway.line())
+        assertThat(gateway.readLine())
                 .startsWith("{\"jsonrpc\":\"2.0\",\"id\":5,\"error\":{\"code\":-32")
                 .contains(value.equals("NaN") ? "-32700" : "missing or wrong: " + name);
-        expectServes();
+        expectServerStillServes();
     }
 
     @Test
-    void bodyOverTheLimitAndMissingTokenAreWrong() throws IOException {
+    void bodyOverTheLimitAndMissingTokenAreInvalid() throws IOException {
         gateway.send(read(1, "x".repeat(2049)));
         expectError(1, -32602);
         gateway.send(message(2, "order", params("good", "")));
         expectError(2, -32602);
         gateway.send(read(3, "x".repeat(2048).replaceFirst("x{5}", "good ")));
-        await(deployment.heard, "begin " + rid(3) + " read 2048");
+        await(deployment.received, "begin " + rid(3) + " read 2048");
     }
 
     @Test
-    void usedIdsAndTooManyOpenAreWrong() throws IOException {
+    void idsInUseAndTooManyOpenRequestsAreRejected() throws IOException {
         String first = order(1, "wait");
         gateway.send(first);
         gateway.send(order(1, "wait"));
@@ -579,17 +577,17 @@
         gateway.send(first.replace("\"id\":1,", "\"id\":2,"));
         expectError(2, -32602);
         for (int id = 3; id <= 34; id++) {
-            gateway.send(order(id, "wait")); // all wait for the first
+            gateway.send(order(id, "wait")); // all wait for the run of the first
         }
         expectError(34, -32600);
     }
 
     @Test
-    void moreThanIsReadAtOnceIsAnsweredInFull() throws IOException {
-        String one = message(1, "ping", "{}");
-        gateway.send(one.repeat(1_000));
+    void inputLargerThanTheReadBufferIsAnsweredCompletely() throws IOException {
+        String request = message(1, "ping", "{}");
+        gateway.send(request.repeat(1_000));
         for (int i = 0; i < 1_000; i++) {
-            assertThat(gateway.line()).contains("\"green\":true");
+            assertThat(gateway.readLine()).contains("\"green\":true");
         }
     }
 
@@ -611,21 +609,21 @@
     void inputWithoutAnIdClosesTheConnection(String input) throws IOException {
         gateway.send(input);
         expectClosed("BAD_INPUT");
-        expectServes();
+        expectServerStillServes();
     }
 
     @Test
-    void endlessLineAndDeepNestingCloseTheConnection() throws IOException {
+    void tooLongLineAndDeepNestingCloseTheConnection() throws IOException {
         gateway.send("x".repeat(9000));
         expectClosed("BAD_INPUT");
-        gateway = deployment.dial();
+        gateway = deployment.connect();
         gateway.send("[".repeat(5000) + "\n");
         expectClosed("BAD_INPUT");
-        expectServes();
+        expectServerStillServes();
     }
 
     @Test
-    void messageInSinglesAndAbortOfTheUnknownDoNothingWrong() throws IOException {
+    void messageSentByteByByteAndAbortsOfUnknownRequestsAreHandled() throws IOException {
         gateway.send("{\"jsonrpc\":\"2.0\",\"method\":\"abort\",\"params\":{\"id\":77}}\n");
         for (byte b : read(1, "good").getBytes()) {
             gateway.send(new byte[] {b});
@@ -633,93 +631,91 @@
         expectResult(1, "result of " + rid(1));
         gateway.send("{\"jsonrpc\":\"2.0\",\"method\":\"abort\",\"params\":{\"id\":1}}\n");
         gateway.send(message(2, "abort", "{\"rid\":\"" + rid(1) + "\"}"));
-        assertThat(gateway.line()).isEqualTo("{\"jsonrpc\":\"2.0\",\"id\":2,\"result\":{}}");
+        assertThat(gateway.readLine()).isEqualTo("{\"jsonrpc\":\"2.0\",\"id\":2,\"result\":{}}");
     }
 
     private void restartWithFewSockets() throws IOException {
         deployment.close();
         deployment = new Deployment(json -> json.replace("\"sockets\":1024", "\"sockets\":64"));
-        await(deployment.heard, "usage fence");
-        gateway = deployment.dial();
+        await(deployment.received, "usage fence");
+        gateway = deployment.connect();
     }
 
     @Test
-    void connectionsThatSayNothingGoBeforeThoseThatHaveShownSomething() throws Exception {
+    void silentConnectionsAreClosedBeforeActiveOnes() throws Exception {
         restartWithFewSockets();
         gateway.send(message(1, "ping", "{}"));
-        assertThat(gateway.line()).contains("\"green\":true");
+        assertThat(gateway.readLine()).contains("\"green\":true");
         List<FakeConnection> silent = new ArrayList<>();
         for (int i = 0; i < 80; i++) {
-            silent.add(deployment.dial());
+            silent.add(deployment.connect());
             if (i < 8) {
                 continue;
             }
-            String word =
-                    silent.get(i - 8)
-                            .line(); // each beyond the eighth ends the oldest; a flood leaves no
-            // time to tell it
-            if (word != null) {
-                assertThat(word).contains("\"shutdown\"");
+            // Each connection beyond the eighth closes the oldest, in a flood without a message.
+            String line = silent.get(i - 8).readLine();
+            if (line != null) {
+                assertThat(line).contains("\"shutdown\"");
             }
         }
         for (int i = 0; i < 72; i++) {
-            assertThat(silent.get(i).line()).isNull();
+            assertThat(silent.get(i).readLine()).isNull();
         }
         gateway.send(read(2, "good"));
         expectResult(2, "result of " + rid(1));
-        for (FakeConnection wire : silent) {
-            wire.close();
+        for (FakeConnection client : silent) {
+            client.close();
         }
-        expectServes();
+        expectServerStillServes();
     }
 
     @Test
-    void whoWasSilentLongestMakesRoomInAFullTable() throws Exception {
+    void longestIdleConnectionIsClosedAtTheConnectionLimit() throws Exception {
         restartWithFewSockets();
         gateway.send(message(1, "ping", "{}"));
-        assertThat(gateway.line()).contains("\"green\":true");
+        assertThat(gateway.readLine()).contains("\"green\":true");
         for (int i = 0; i < 32; i++) {
-            FakeConnection wire = deployment.dial();
-            wire.send(message(1, "ping", "{}"));
-            assertThat(wire.line()).contains("\"green\":true");
+            FakeConnection client = deployment.connect();
+            client.send(message(1, "ping", "{}"));
+            assertThat(client.readLine()).contains("\"green\":true");
         }
-        expectTold(gateway);
+        expectShutdown(gateway);
         await(deployment.log, "connection gateway .* ended: TOO_MANY$");
     }
 
     @Test
-    void fullTableLetsHealthChecksInAndTurnsInvocationsAway() throws Exception {
+    void healthChecksAreAnsweredAndInvocationsThrottledAboveTheConnectionLimit() throws Exception {
         restartWithFewSockets();
         gateway.close();
-        List<FakeConnection> wires = new ArrayList<>();
+        List<FakeConnection> clients = new ArrayList<>();
         for (int i = 0; i < 32; i++) {
-            FakeConnection busy = deployment.dial();
-            busy.send(message(1, "ping", "{}") + order(2, "wait")); // all wait for the first
-            assertThat(busy.line()).contains("\"green\":true");
-            wires.add(busy);
+            FakeConnection busy = deployment.connect();
+            busy.send(message(1, "ping", "{}") + order(2, "wait")); // wait for the first run
+            assertThat(busy.readLine()).contains("\"green\":true");
+            clients.add(busy);
         }
         for (String request : List.of(message(1, "ping", "{}"), read(1, "good"))) {
-            gateway = deployment.dial();
+            gateway = deployment.connect();
             gateway.send(request);
-            assertThat(gateway.line())
+            assertThat(gateway.readLine())
                     .contains(request.contains("ping") ? "\"green\":true" : "\"code\":-32014");
             expectClosed("TOO_MANY");
         }
         for (int i = 0; i < 9; i++) {
-            wires.add(deployment.dial());
+            clients.add(deployment.connect());
         }
-        assertThat(wires.get(40).line()).isNull();
-        for (FakeConnection wire : wires) {
-            wire.close();
+        assertThat(clients.get(40).readLine()).isNull();
+        for (FakeConnection client : clients) {
+            client.close();
         }
     }
 
     @Test
     void peerThatDoesNotReadIsClosed() throws IOException {
         String request = message(1, "ping", "{}").replace("\n", " ".repeat(100) + "\n").repeat(500);
-        assertThat(gateway.sendsUntilItEnds(request, 4000)).isTrue();
+        assertThat(gateway.sendUntilClosed(request, 4000)).isTrue();
         await(deployment.log, "connection gateway .* ended: (NOT_READING|FLOOD)");
-        gateway = deployment.dial();
-        expectServes();
+        gateway = deployment.connect();
+        expectServerStillServes();
     }
 }
--- a/src/test/java/ochretiller/WorkersIT.java
+++ b/src/test/java/ochretiller/WorkersIT.java
@@ -24,7 +24,7 @@
 import java.util.stream.IntStream;
 import ochretiller.fakes.FakeConnection;
 import ochretiller.fakes.FakeWorker;
-import ochretiller.fakes.FakeWorker.Manner;
+import ochretiller.fakes.FakeWorker.ResponseMode;
 import ochretiller.uwsgi.UwsgiRequest;
 import ochretiller.uwsgi.UwsgiResponse;
 import ochretiller.uwsgi.UwsgiResponseDecoder;
@@ -36,30 +36,30 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * The packaged program whose operations run on scripted uwsgi workers: what fails there, and what
- * callers of both fronts see.
+ * The packaged program whose operations run on scripted uwsgi workers: failures of workers, and the
+ * answers that clients of both frontends get.
  */
 class WorkersIT {
-    private static final int READS = 5_000;
+    private static final int READ_TIMEOUT_MILLIS = 5_000;
     @TempDir private Path folder;
     private final List<FakeWorker> workers = new ArrayList<>();
     private Deployment deployment;
     private int port;
-    private int rids;
+    private int lastRid;
 
     @BeforeEach
     void start() throws Exception {
         port = Deployment.freePort();
         for (int i = 0; i < 4; i++) {
-            workers.add(new FakeWorker("127.0.0.1", 0, ran -> Manner.ANSWERS));
+            workers.add(new FakeWorker("127.0.0.1", 0, request -> ResponseMode.ANSWERS));
         }
-        deployment = new Deployment(configured(List.of(0, 1, 2)), made -> {});
-        await(deployment.heard, "usage fence");
+        deployment = new Deployment(writeOperatorFile(List.of(0, 1, 2)), newDeployment -> {});
+        await(deployment.received, "usage fence");
     }
 
-    private Path configured(List<Integer> which) throws IOException {
+    private Path writeOperatorFile(List<Integer> indices) throws IOException {
         String addresses =
-                which.stream()
+                indices.stream()
                         .map(i -> "'127.0.0.1:" + workers.get(i).port() + "'")
                         .collect(Collectors.joining(", "));
         return Files.writeString(
@@ -83,27 +83,27 @@
         Map<String, Integer> runs = new HashMap<>();
         for (FakeWorker worker : workers) {
             worker.close();
-            for (FakeWorker.Ran ran : worker.ran()) {
-                if (ran.vars().get("PATH_INFO").equals("/order")) {
-                    runs.merge(ran.body(), 1, Integer::sum);
+            for (FakeWorker.ReceivedRequest request : worker.requests()) {
+                if (request.vars().get("PATH_INFO").equals("/order")) {
+                    runs.merge(request.body(), 1, Integer::sum);
                 }
             }
         }
         assertThat(runs.values()).as("runs of each order").allMatch(count -> count == 1);
     }
 
-    private void all(FakeWorker.Script script) {
+    private void scriptAll(FakeWorker.Script script) {
         workers.forEach(worker -> worker.script = script);
     }
 
-    private int ran() {
-        return workers.stream().mapToInt(worker -> worker.ran().size()).sum();
+    private int runCount() {
+        return workers.stream().mapToInt(worker -> worker.requests().size()).sum();
     }
 
-    private UwsgiResponse ask(String method, String path, String key, String body)
+    private UwsgiResponse exchange(String method, String path, String key, String body)
             throws IOException {
         try (Socket socket = new Socket("127.0.0.1", port)) {
-            socket.setSoTimeout(READS);
+            socket.setSoTimeout(READ_TIMEOUT_MILLIS);
             Map<String, String> vars =
                     new LinkedHashMap<>(
                             Map.of(
@@ -124,41 +124,41 @@
             }
             UwsgiResponseDecoder decoder = new UwsgiResponseDecoder(8_192);
             byte[] buffer = new byte[4_096];
-            for (int got = socket.getInputStream().read(buffer);
-                    got > 0;
-                    got = socket.getInputStream().read(buffer)) {
-                UwsgiResponse whole = decoder.read(buffer, 0, got);
-                if (whole != null) {
-                    return whole;
+            for (int length = socket.getInputStream().read(buffer);
+                    length > 0;
+                    length = socket.getInputStream().read(buffer)) {
+                UwsgiResponse response = decoder.decode(buffer, 0, length);
+                if (response != null) {
+                    return response;
                 }
             }
-            return decoder.ended();
+            return decoder.finish();
         }
     }
 
     private UwsgiResponse read(String body) throws IOException {
-        return ask("GET", "/parts/7", null, body);
+        return exchange("GET", "/parts/7", null, body);
     }
 
     private UwsgiResponse order(String key, String body) throws IOException {
-        return ask("POST", "/orders", key, body);
+        return exchange("POST", "/orders", key, body);
     }
 
-    /** So many reads at once by some threads; how many ended with which status. */
-    private Map<Integer, Integer> reads(int count, int threads) throws Exception {
-        ExecutorService callers = Executors.newFixedThreadPool(threads);
+    /** Sends reads from several threads and returns the number of answers by status. */
+    private Map<Integer, Integer> sendReads(int count, int threads) throws Exception {
+        ExecutorService executor = Executors.newFixedThreadPool(threads);
         try {
-            List<Callable<Integer>> asks =
+            List<Callable<Integer>> calls =
                     IntStream.range(0, count)
                             .<Callable<Integer>>mapToObj(i -> () -> read("r" + i).status())
                             .toList();
             Map<Integer, Integer> statuses = new HashMap<>();
-            for (Future<Integer> each : callers.invokeAll(asks)) {
+            for (Future<Integer> each : executor.invokeAll(calls)) {
                 statuses.merge(each.get(), 1, Integer::sum);
             }
             return statuses;
         } finally {
-            callers.shutdownNow();
+            executor.shutdownNow();
         }
     }
 
@@ -168,8 +168,8 @@
         assertThat(answer.status()).isEqualTo(status);
     }
 
-    private double figure(String name) throws Exception {
-        Thread.sleep(250); // the file is written ten times a second
+    private double metric(String name) throws Exception {
+        Thread.sleep(250); // the metrics file is written ten times per second
         return Files.readAllLines(folder.resolve("figures")).stream()
                 .filter(line -> line.contains(name) && !line.startsWith("#"))
                 .mapToDouble(line -> Double.parseDouble(line.split(" ")[1]))
@@ -177,104 +177,108 @@
     }
 
     @Test
-    void bothFrontsRunOnWorkersAndShareTheirKeys() throws Exception {
+    void bothFrontendsRunOnWorkersAndShareKeys() throws Exception {
         expect(read("one"), 200, "result of one");
         expect(order("5c0f6e1a2b3d4c59a8b7c6d5e4f30211", "two"), 200, "result of two");
-        try (FakeConnection wire = deployment.dial()) {
-            wire.send(
+        try (FakeConnection gateway = deployment.connect()) {
+            gateway.send(
                     message(
                             1,
                             "order",
                             params("0000000000000001", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211", "two")));
-            assertThat(wire.line())
+            assertThat(gateway.readLine())
                     .contains("\"id\":1")
                     .contains(ochretiller.fakes.GatewayMessages.base64("result of two"));
         }
-        FakeWorker.Ran ran =
+        FakeWorker.ReceivedRequest request =
                 workers.stream()
-                        .flatMap(w -> w.ran().stream())
+                        .flatMap(w -> w.requests().stream())
                         .filter(r -> r.body().equals("two"))
                         .findFirst()
                         .orElseThrow();
-        assertThat(ran.vars())
+        assertThat(request.vars())
                 .containsEntry("PATH_INFO", "/order")
                 .containsEntry("REQUEST_METHOD", "POST")
                 .containsEntry("HTTP_IDEMPOTENCY_KEY", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
-        assertThat(Integer.parseInt(ran.vars().get("HTTP_X_TIME_LEFT_MS"))).isBetween(3_000, 4_000);
+        assertThat(Integer.parseInt(request.vars().get("HTTP_X_TIME_LEFT_MS")))
+                .isBetween(3_000, 4_000);
     }
 
     @ParameterizedTest
     @EnumSource(
-            value = Manner.class,
+            value = ResponseMode.class,
             names = {"FAILS", "HALF", "RESETS", "GARBAGE", "WRONG_LENGTH", "TOO_LONG", "ENDS"})
-    void spoiltAnswerIsAnErrorAndNeverRunsAgain(Manner manner) throws Exception {
-        all(ran -> ran.body().startsWith("bad") ? manner : Manner.ANSWERS);
+    void malformedAnswerIsAnErrorAndIsNotRetried(ResponseMode manner) throws Exception {
+        scriptAll(request -> request.body().startsWith("bad") ? manner : ResponseMode.ANSWERS);
         expect(order("k", "bad"), 500, "failed");
         expect(order("k", "bad"), 500, "failed");
         expect(order("l", "good"), 200, "result of good");
-        assertThat(ran()).isEqualTo(2);
+        assertThat(runCount()).isEqualTo(2);
     }
 
     @Test
-    void refusedConnectionsAreTriedElsewhereAndNothingIsLost() throws Exception {
-        workers.get(0).die();
-        workers.get(1).die();
-        Map<Integer, Integer> ended = reads(100, 4);
-        assertThat(ended.keySet())
-                .isSubsetOf(200, 503); // throttled where the budget of second tries was spent
-        assertThat(ended.get(200)).isGreaterThan(70);
-        assertThat(figure("second_tries_total")).isPositive();
-        Thread.sleep(400); // both are left out by now: nothing is offered to them but probes
-        workers.get(0).rise();
-        workers.get(1).rise();
+    void refusedConnectionsAreRetriedElsewhereWithoutErrors() throws Exception {
+        workers.get(0).kill();
+        workers.get(1).kill();
+        Map<Integer, Integer> statusCounts = sendReads(100, 4);
+        assertThat(statusCounts.keySet()).isSubsetOf(200, 503); // 503 if the retry budget was spent
+        assertThat(statusCounts.get(200)).isGreaterThan(70);
+        assertThat(metric("second_tries_total")).isPositive();
+        Thread.sleep(400); // both are ejected by now and get only probes
+        workers.get(0).restart();
+        workers.get(1).restart();
         Thread.sleep(700);
         for (int i = 0; i < 3; i++) {
-            reads(40, 8);
+            sendReads(40, 8);
         }
-        assertThat(workers.get(0).ran()).isNotEmpty();
-        assertThat(reads(50, 4)).isEqualTo(Map.of(200, 50));
+        assertThat(workers.get(0).requests()).isNotEmpty();
+        assertThat(sendReads(50, 4)).isEqualTo(Map.of(200, 50));
     }
 
     @Test
-    void withAllWorkersGoneCallersAreToldWhenToComeBackAndAreServedThen() throws Exception {
+    void withoutWorkersClientsAreThrottledAndServedAfterRecovery() throws Exception {
         for (FakeWorker worker : workers) {
-            worker.die();
+            worker.kill();
         }
-        Map<Integer, Integer> ended = reads(60, 4);
-        assertThat(ended).isEqualTo(Map.of(503, 60));
+        Map<Integer, Integer> statusCounts = sendReads(60, 4);
+        assertThat(statusCounts).isEqualTo(Map.of(503, 60));
         UwsgiResponse throttled = order("k", "kept");
         assertThat(throttled.status()).isEqualTo(503);
         assertThat(Integer.parseInt(throttled.headers().get("retry-after"))).isPositive();
         for (FakeWorker worker : workers) {
-            worker.rise();
+            worker.restart();
         }
         Thread.sleep(700);
         for (int i = 0; i < 20 && read("again").status() != 200; i++) {
             Thread.sleep(50);
         }
-        expect(order("k", "kept"), 200, "result of kept"); // what never ran may be asked for again
+        expect(order("k", "kept"), 200, "result of kept"); // a throttled order may be retried
     }
 
     @Test
-    void silentWorkerIsLeftOutAndAnOrderThatItHasIsErroredOnTime() throws Exception {
-        all(ran -> ran.body().equals("silent") ? Manner.SILENT : Manner.ANSWERS);
-        long began = System.nanoTime();
+    void orderOnASilentWorkerFailsInTime() throws Exception {
+        scriptAll(
+                request ->
+                        request.body().equals("silent")
+                                ? ResponseMode.SILENT
+                                : ResponseMode.ANSWERS);
+        long startNanos = System.nanoTime();
         UwsgiResponse answer = order("k", "silent");
-        assertThat((System.nanoTime() - began) / 1e9).isBetween(3.0, 4.8);
+        assertThat((System.nanoTime() - startNanos) / 1e9).isBetween(3.0, 4.8);
         assertThat(answer.status()).isIn(409, 504);
-        Thread.sleep(1_800); // past the time for a late answer
+        Thread.sleep(1_800); // until the time for a late answer has passed
         expect(order("k", "silent"), 500, "failed");
-        assertThat(figure("silent_total")).isEqualTo(1);
+        assertThat(metric("silent_total")).isEqualTo(1);
     }
 
     @Test
-    void answerOfAnOrderBehindItsDueTimeIsKeptForItsRepeat() throws Exception {
-        all(
-                ran -> {
-                    if (ran.body().equals("slow")) {
+    void lateAnswerOfAnOrderIsStoredForItsRetry() throws Exception {
+        scriptAll(
+                request -> {
+                    if (request.body().equals("slow")) {
                         Thread.sleep(4_600);
                     }
-                    return Manner.ANSWERS;
+                    return ResponseMode.ANSWERS;
                 });
         assertThat(order("k", "slow").status()).isIn(409, 504);
         Thread.sleep(1_000);
@@ -282,79 +286,79 @@
     }
 
     @Test
-    void oneThatFailsFastDoesNotDrawTheLoad() throws Exception {
-        workers.get(1).script = ran -> Manner.FAILS;
+    void fastFailingWorkerDoesNotAttractLoad() throws Exception {
+        workers.get(1).script = request -> ResponseMode.FAILS;
         for (int i : new int[] {0, 2}) {
             workers.get(i).script =
-                    ran -> {
+                    request -> {
                         Thread.sleep(20);
-                        return Manner.ANSWERS;
+                        return ResponseMode.ANSWERS;
                     };
         }
-        Map<Integer, Integer> ended = reads(300, 4);
-        assertThat(ended.getOrDefault(500, 0)).isLessThan(40);
-        assertThat(ended.get(200)).isGreaterThan(260);
+        Map<Integer, Integer> statusCounts = sendReads(300, 4);
+        assertThat(statusCounts.getOrDefault(500, 0)).isLessThan(40);
+        assertThat(statusCounts.get(200)).isGreaterThan(260);
     }
 
     @Test
-    void workersComeAndGoUnderLoadAndNothingIsLost() throws Exception {
-        all(
-                ran -> {
+    void workersAreReplacedUnderLoadWithoutErrors() throws Exception {
+        scriptAll(
+                request -> {
                     Thread.sleep(5);
-                    return Manner.ANSWERS;
+                    return ResponseMode.ANSWERS;
                 });
-        AtomicBoolean over = new AtomicBoolean();
-        ExecutorService load = Executors.newFixedThreadPool(4);
-        List<Future<Integer>> asked = new ArrayList<>();
-        for (int thread = 0; thread < 4; thread++) {
-            asked.add(
-                    load.submit(
+        AtomicBoolean isStopped = new AtomicBoolean();
+        ExecutorService executor = Executors.newFixedThreadPool(4);
+        List<Future<Integer>> pending = new ArrayList<>();
+        for (int index = 0; index < 4; index++) {
+            pending.add(
+                    executor.submit(
                             () -> {
-                                int done = 0;
-                                for (; !over.get(); done++) {
+                                int readCount = 0;
+                                for (; !isStopped.get(); readCount++) {
                                     expect(read("x"), 200, "result of x");
                                 }
-                                return done;
+                                return readCount;
                             }));
         }
         Thread.sleep(300);
-        configured(List.of(2, 3));
+        writeOperatorFile(List.of(2, 3));
         deployment.signal("HUP");
-        await(deployment.log, "takes the addresses");
-        int before = workers.get(3).ran().size();
-        int left = workers.get(0).ran().size();
-        for (int i = 0; i < 500 && workers.get(3).ran().size() <= before; i++) {
-            Thread.sleep(20); // as soon as it has one
+        await(deployment.log, "configuration reloaded");
+        int countBefore = workers.get(3).requests().size();
+        int countAtRemoval = workers.get(0).requests().size(); // at most four more in flight
+        for (int i = 0; i < 500 && workers.get(3).requests().size() <= countBefore; i++) {
+            Thread.sleep(20); // until the new worker has a request
         }
-        assertThat(workers.get(3).ran().size()).isGreaterThan(before);
-        assertThat(workers.get(0).ran().size()).isLessThanOrEqualTo(left + 4); // what was under way
+        assertThat(workers.get(3).requests().size()).isGreaterThan(countBefore);
+        assertThat(workers.get(0).requests().size()).isLessThanOrEqualTo(countAtRemoval + 4);
         Files.writeString(folder.resolve("operator.json5"), "{ pools: 7 }");
         deployment.signal("HUP");
-        await(deployment.log, "stays with its configuration.*pools");
-        over.set(true);
-        for (Future<Integer> each : asked) {
+        await(deployment.log, "configuration not reloaded.*pools");
+        isStopped.set(true);
+        for (Future<Integer> each : pending) {
             assertThat(each.get()).isPositive();
         }
-        load.shutdown();
+        executor.shutdown();
     }
 
     @Test
-    void callerThatIsGoneLeavesAnOrderRunningAndItsRepeatIsAnsweredFromIt() throws Exception {
-        all(
-                ran -> {
+    void orderCompletesAfterDisconnectAndAnswersItsRetry() throws Exception {
+        scriptAll(
+                request -> {
                     Thread.sleep(400);
-                    return Manner.ANSWERS;
+                    return ResponseMode.ANSWERS;
                 });
-        try (FakeConnection wire = deployment.dial()) {
-            wire.send(
+        try (FakeConnection gateway = deployment.connect()) {
+            gateway.send(
                     message(
                             1,
                             "order",
                             params(
-                                    "000000000000000" + ++rids,
+                                    "000000000000000" + ++lastRid,
                                     "5c0f6e1a2b3d4c59a8b7c6d5e4f30212",
                                     "left")));
-            for (int i = 0; i < 100 && ran() == 0; i++) {
+            for (int i = 0; i < 100 && runCount() == 0; i++) {
                 Thread.sleep(10);
             }
         }
@@ -362,29 +366,29 @@
     }
 
     @Test
-    void drainAnswersWhatRunsOnWorkers() throws Exception {
-        all(
-                ran -> {
+    void drainAnswersRunsOnWorkers() throws Exception {
+        scriptAll(
+                request -> {
                     Thread.sleep(600);
-                    return Manner.ANSWERS;
+                    return ResponseMode.ANSWERS;
                 });
-        ExecutorService one = Executors.newSingleThreadExecutor();
-        Future<UwsgiResponse> asked = one.submit(() -> order("k", "last"));
-        for (int i = 0; i < 200 && ran() == 0; i++) {
+        ExecutorService executor = Executors.newSingleThreadExecutor();
+        Future<UwsgiResponse> pending = executor.submit(() -> order("k", "last"));
+        for (int i = 0; i < 200 && runCount() == 0; i++) {
             Thread.sleep(10);
         }
         deployment.terminate();
-        expect(asked.get(), 200, "result of last");
-        assertThat(deployment.exit()).isZero();
-        one.shutdown();
+        expect(pending.get(), 200, "result of last");
+        assertThat(deployment.awaitExit()).isZero();
+        executor.shutdown();
     }
 
     /**
-     * Killed while a worker runs an order: nobody tells of its end, so the repeat is errored on
-     * either protocol, and never runs.
+     * The server is killed while a worker runs an order. The outcome is never reported, so a retry
+     * fails over either protocol and never runs.
      */
     @Test
-    void behindARestartWhatAWorkerHasRunIsReplayedOrErroredOverBothProtocols() throws Exception {
+    void afterARestartOrdersOnWorkersAreReplayedOrFail() throws Exception {
         String file = Files.readString(folder.resolve("operator.json5"));
         Files.writeString(
                 folder.resolve("operator.json5"),
@@ -394,29 +398,31 @@
                         + "' } }");
         deployment.kill();
         deployment.restart();
-        await(deployment.heard, "usage fence");
-        String kept = "5c0f6e1a2b3d4c59a8b7c6d5e4f30213";
-        String cut = "5c0f6e1a2b3d4c59a8b7c6d5e4f30214";
-        all(ran -> ran.body().equals("cut") ? Manner.SILENT : Manner.ANSWERS);
-        try (FakeConnection wire = deployment.dial()) {
-            wire.send(message(1, "order", params("0000000000000011", kept, "kept")));
-            assertThat(wire.line()).contains("\"result\"");
-            wire.send(message(2, "order", params("0000000000000012", cut, "cut")));
-            for (int i = 0; i < 200 && ran() < 2; i++) {
+        await(deployment.received, "usage fence");
+        String completedKey = "5c0f6e1a2b3d4c59a8b7c6d5e4f30213";
+        String interruptedKey = "5c0f6e1a2b3d4c59a8b7c6d5e4f30214";
+        scriptAll(
+                request ->
+                        request.body().equals("cut") ? ResponseMode.SILENT : ResponseMode.ANSWERS);
+        try (FakeConnection gateway = deployment.connect()) {
+            gateway.send(message(1, "order", params("0000000000000011", completedKey, "kept")));
+            assertThat(gateway.readLine()).contains("\"result\"");
+            gateway.send(message(2, "order", params("0000000000000012", interruptedKey, "cut")));
+            for (int i = 0; i < 200 && runCount() < 2; i++) {
                 Thread.sleep(10);
             }
         }
         deployment.kill();
         deployment.restart();
-        await(deployment.heard, "usage fence");
-        UwsgiResponse replayed = order(kept, "kept");
+        await(deployment.received, "usage fence");
+        UwsgiResponse replayed = order(completedKey, "kept");
         expect(replayed, 200, "result of kept");
         assertThat(replayed.headers()).containsEntry("x-idempotent-replay", "true");
-        expect(order(cut, "cut"), 500, "failed");
-        try (FakeConnection wire = deployment.dial()) {
-            wire.send(message(3, "order", params("0000000000000013", cut, "cut")));
-            assertThat(wire.line()).contains("\"error\"");
+        expect(order(interruptedKey, "cut"), 500, "failed");
+        try (FakeConnection gateway = deployment.connect()) {
+            gateway.send(message(3, "order", params("0000000000000013", interruptedKey, "cut")));
+            assertThat(gateway.readLine()).contains("\"error\"");
         }
-        assertThat(ran()).isEqualTo(2);
+        assertThat(runCount()).isEqualTo(2);
     }
 }
--- a/src/test/java/ochretiller/admission/BackpressureAdvertiserTest.java
+++ b/src/test/java/ochretiller/admission/BackpressureAdvertiserTest.java
@@ -14,20 +14,20 @@
     private final AdmissionFixture server = new AdmissionFixture();
 
     @Test
-    void idleConnectionsAreClosedSoonerWhileManyAreOpen() {
+    void idleTimeoutShrinksWhileManyConnectionsAreOpen() {
         BackpressureAdvertiser advertiser =
                 new BackpressureAdvertiser(
                         new AdvertisedCapacity(CapacityAdvertisement.NONE, 1, CORES),
                         new IdleTimeoutPolicy(CORES, SECOND),
                         new OverloadDetector());
-        advertiser.onConnections(server, 99);
+        advertiser.adaptIdleTimeout(server, 99);
         server.now = SECOND;
-        advertiser.onConnections(server, 1);
+        advertiser.adaptIdleTimeout(server, 1);
         assertThat(server.actions).containsExactly("idleTimeout PT0.5S", "idleTimeout PT1S");
     }
 
     @Test
-    void advertisedWindowClosesWhileTheQueueIsLong() {
+    void advertisedWindowShrinksWhileTheQueueIsLong() {
         server.settings.advertisement(CapacityAdvertisement.CLIENT_WINDOW);
         server.occupyBothCores();
         for (long id = 1; id < 5; id++) {
--- a/src/test/java/ochretiller/admission/EvictionPolicyTest.java
+++ b/src/test/java/ochretiller/admission/EvictionPolicyTest.java
@@ -12,12 +12,12 @@
 
 class EvictionPolicyTest {
     @Test
-    void whoeverHasMostInTheQueueLosesTheOneThatWouldStartLast() {
+    void senderWithMostQueuedLosesTheOneThatWouldStartLast() {
         QueueOrder order = new QueueOrder(new CostEstimator(), BillingBasis.PER_REQUEST);
         EvictionPolicy eviction = new EvictionPolicy(List.of());
         List<TrackedInvocation> queued = new ArrayList<>();
         for (long id : new long[] {1, 3, 5, 2}) {
-            queued.add(invocation(id, READ).track());
+            queued.add(invocation(id, READ).buildTracked());
         }
         List<TrackedInvocation> ordered = order.sort(queued, Duration.ZERO);
         assertThat(eviction.chooseVictim(ordered, queued).id()).isEqualTo(new InvocationId(5));
--- a/src/test/java/ochretiller/audit/files/AuditGoldenTest.java
+++ b/src/test/java/ochretiller/audit/files/AuditGoldenTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** An audit's records and its file as they are on disk, by {@code docs/audit-format.md}. */
+/** Records and files have the bytes that {@code docs/audit-format.md} specifies. */
 class AuditGoldenTest {
     private static final GoldenFile RECORDS = new GoldenFile("audit-records");
     private static final GoldenFile FILES = new GoldenFile("audit-files");
@@ -66,14 +66,14 @@
     }
 
     @Test
-    void eachRecordIsWrittenAsItsGoldenBytes() {
+    void eachRecordIsEncodedAsItsGoldenBytes() {
         Map<String, byte[]> written = new LinkedHashMap<>();
         records().forEach((name, record) -> written.put(name, AuditRecordCodec.encode(record)));
-        RECORDS.assertHolds(written);
+        RECORDS.assertMatches(written);
     }
 
     @Test
-    void eachGoldenRecordIsReadBack() {
+    void eachGoldenRecordIsDecoded() {
         records()
                 .forEach(
                         (name, record) ->
@@ -100,11 +100,11 @@
         writer.start();
         records().values().forEach(writer::add);
         writer.close();
-        FILES.assertHolds(Map.of(FILE, Files.readAllBytes(directory.resolve(FILE))));
+        FILES.assertMatches(Map.of(FILE, Files.readAllBytes(directory.resolve(FILE))));
     }
 
     @Test
-    void goldenFileIsReadBackAsAChainWithoutFault() throws IOException {
+    void goldenFileIsReadAsAChainWithoutFaults() throws IOException {
         Files.write(directory.resolve(FILE), FILES.bytes(FILE));
         HashChain chain = HashChain.empty();
         records().values().forEach(record -> chain.append(AuditRecordCodec.encode(record)));
--- a/src/test/java/ochretiller/golden/Cli.java
+++ b/src/test/java/ochretiller/golden/CommandResult.java
@@ -12,30 +12,32 @@
 import ochretiller.Main;
 import picocli.CommandLine;
 
-/** The program's command line in this process: its exit code and what it prints. */
-record Cli(int code, String out) {
+/** The exit code and standard output of a command that was run in this process. */
+record CommandResult(int exitCode, String output) {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    static Cli run(String... words) {
+    static CommandResult run(String... arguments) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        PrintStream before = System.out;
+        PrintStream originalOut = System.out;
         try (PrintStream out = new PrintStream(bytes, true, StandardCharsets.UTF_8)) {
             System.setOut(out);
             int code =
-                    new CommandLine(Main.class).setOut(new PrintWriter(out, true)).execute(words);
-            return new Cli(code, bytes.toString(StandardCharsets.UTF_8));
+                    new CommandLine(Main.class)
+                            .setOut(new PrintWriter(out, true))
+                            .execute(arguments);
+            return new CommandResult(code, bytes.toString(StandardCharsets.UTF_8));
         } finally {
-            System.setOut(before);
+            System.setOut(originalOut);
         }
     }
 
-    /** The first line of what was printed, as JSON. */
+    /** Parses the first line of the output as JSON. */
     JsonNode json() throws IOException {
-        return JSON.readTree(out.lines().findFirst().orElseThrow());
+        return JSON.readTree(output.lines().findFirst().orElseThrow());
     }
 
-    /** Names of an object's members in their order. */
-    static List<String> members(JsonNode object) {
+    /** Returns the names of an object's members in document order. */
+    static List<String> memberNames(JsonNode object) {
         List<String> names = new ArrayList<>();
         object.fieldNames().forEachRemaining(names::add);
         return names;
