--- a/src/test/java/ochretiller/golden/ContractTextTest.java
+++ b/src/test/java/ochretiller/golden/ContractTextTest.java
@@ -9,12 +9,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The whole text that the contracts' commands print. */
+/** Pins the complete output of the contract commands. */
 class ContractTextTest {
     @TempDir private Path folder;
 
     @BeforeEach
-    void write() throws IOException {
+    void writeContracts() throws IOException {
         Files.writeString(folder.resolve("broker.json5"), "{ work_per_s: 10 }");
         Files.writeString(
                 folder.resolve("parts.json5"),
@@ -33,7 +33,7 @@
 
     @Test
     void contractsAreShown() {
-        assertThat(Cli.run("contract", "show", folder.toString()).out())
+        assertThat(CommandResult.run("contract", "show", folder.toString()).output())
                 .isEqualTo(
                         """
                         capacity 10.000 core seconds a second, 6.000 promised
@@ -46,8 +46,10 @@
 
     @Test
     void contractsAreCheckedAndCompared() {
-        String text = folder.toString();
-        assertThat(Cli.run("contract", "check", text).out()).isEqualTo("2 contracts are good\n");
-        assertThat(Cli.run("contract", "diff", text, text).out()).isEqualTo("nothing changes\n");
+        String path = folder.toString();
+        assertThat(CommandResult.run("contract", "check", path).output())
+                .isEqualTo("2 contracts are good\n");
+        assertThat(CommandResult.run("contract", "diff", path, path).output())
+                .isEqualTo("nothing changes\n");
     }
 }
--- a/src/test/java/ochretiller/golden/FleetJsonTest.java
+++ b/src/test/java/ochretiller/golden/FleetJsonTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Members of the JSON that commands print of a server that runs, asked at its fleet's door. */
+/** Pins the members of the JSON that the fleet and copies commands print of a running server. */
 class FleetJsonTest {
     @TempDir private static Path folder;
     private static WholeServer server;
@@ -27,25 +27,26 @@
         server.close();
     }
 
-    private static Cli asked(String command, String word, String... more) {
-        String[] words = new String[5 + more.length];
-        words[0] = command;
-        words[1] = word;
-        words[2] = "--operator";
-        words[3] = server.operator.toString();
-        words[4] = "--json";
-        System.arraycopy(more, 0, words, 5, more.length);
-        return Cli.run(words);
+    private static CommandResult run(String command, String subCommand, String... options) {
+        String[] arguments = new String[5 + options.length];
+        arguments[0] = command;
+        arguments[1] = subCommand;
+        arguments[2] = "--operator";
+        arguments[3] = server.operator.toString();
+        arguments[4] = "--json";
+        System.arraycopy(options, 0, arguments, 5, options.length);
+        return CommandResult.run(arguments);
     }
 
-    private static JsonNode told(String command, String word, String... more) throws Exception {
-        Cli cli = asked(command, word, more);
-        assertThat(cli.code()).as(cli.out()).isZero();
+    private static JsonNode json(String command, String subCommand, String... options)
+            throws Exception {
+        CommandResult cli = run(command, subCommand, options);
+        assertThat(cli.exitCode()).as(cli.output()).isZero();
         return cli.json();
     }
 
     @Test
-    void viewHasItsMembers() throws Exception {
+    void viewPrintsAllMembers() throws Exception {
         try (DatagramSocket socket = new DatagramSocket()) {
             byte[] bytes = new byte[100];
             socket.send(
@@ -55,10 +56,10 @@
                             InetAddress.getLoopbackAddress(),
                             server.fleetPort));
         }
-        WholeServer.until(() -> told("fleet", "view").get("refused").size() > 0);
-        WholeServer.until(() -> state(told("fleet", "view")).equals("HERE"));
-        JsonNode view = told("fleet", "view");
-        assertThat(Cli.members(view))
+        WholeServer.await(() -> json("fleet", "view").get("refused").size() > 0);
+        WholeServer.await(() -> state(json("fleet", "view")).equals("HERE"));
+        JsonNode view = json("fleet", "view");
+        assertThat(CommandResult.memberNames(view))
                 .containsExactly(
                         "fleet",
                         "digest",
@@ -68,8 +69,8 @@
                         "read_bytes",
                         "refused",
                         "members");
-        assertThat(Cli.members(view.get("refused"))).containsExactly("not_ours");
-        assertThat(Cli.members(view.get("members").get(0)))
+        assertThat(CommandResult.memberNames(view.get("refused"))).containsExactly("not_ours");
+        assertThat(CommandResult.memberNames(view.get("members").get(0)))
                 .containsExactly(
                         "name", "start", "state", "address", "zone", "build", "serves", "number",
                         "for_ms", "self");
@@ -81,16 +82,16 @@
     }
 
     @Test
-    void pingHasItsMembers() throws Exception {
-        assertThat(Cli.members(told("fleet", "ping")))
+    void pingPrintsAllMembers() throws Exception {
+        assertThat(CommandResult.memberNames(json("fleet", "ping")))
                 .containsExactly("name", "times", "least_us", "p50_us", "most_us");
     }
 
     @Test
-    void versionsHaveTheirMembers() throws Exception {
-        WholeServer.until(() -> told("fleet", "versions").get("servers").has("n1"));
-        JsonNode versions = told("fleet", "versions");
-        assertThat(Cli.members(versions))
+    void versionsPrintsAllMembers() throws Exception {
+        WholeServer.await(() -> json("fleet", "versions").get("servers").has("n1"));
+        JsonNode versions = json("fleet", "versions");
+        assertThat(CommandResult.memberNames(versions))
                 .containsExactly(
                         "name",
                         "acts",
@@ -107,27 +108,27 @@
                         "refused",
                         "servers");
         assertThat(versions.get("state").asText()).isEqualTo("DONE");
-        assertThat(Cli.members(versions.get("servers").get("n1")))
+        assertThat(CommandResult.memberNames(versions.get("servers").get("n1")))
                 .containsExactly("acts", "read", "refused", "out");
     }
 
     @Test
-    void refusedStepsOfARolloutNameItsState() {
-        for (String word : new String[] {"pause", "go-on", "take-back"}) {
-            Cli cli = asked("fleet", word);
-            assertThat(cli.code()).isEqualTo(1);
-            assertThat(cli.out())
+    void rejectedRolloutStepsNameTheRolloutState() {
+        for (String step : new String[] {"pause", "go-on", "take-back"}) {
+            CommandResult cli = run("fleet", step);
+            assertThat(cli.exitCode()).isEqualTo(1);
+            assertThat(cli.output())
                     .isEqualTo(
                             "{\"refused\":\"there is nothing to "
-                                    + word
+                                    + step
                                     + ": DONE at version 0\"}\n");
         }
     }
 
     @Test
-    void statusOfCopiesHasItsMembers() throws Exception {
-        JsonNode status = told("copies", "status");
-        assertThat(Cli.members(status))
+    void copiesStatusPrintsAllMembers() throws Exception {
+        JsonNode status = json("copies", "status");
+        assertThat(CommandResult.memberNames(status))
                 .containsExactly(
                         "name",
                         "epoch",
@@ -154,16 +155,16 @@
     }
 
     @Test
-    void differenceOfCopiesHasItsMembers() throws Exception {
-        JsonNode difference = told("copies", "diff", "--with", "127.0.0.1:" + server.fleetPort);
-        assertThat(Cli.members(difference))
+    void copiesDiffPrintsAllMembers() throws Exception {
+        JsonNode difference = json("copies", "diff", "--with", "127.0.0.1:" + server.fleetPort);
+        assertThat(CommandResult.memberNames(difference))
                 .containsExactly(
                         "here", "there", "epoch_here", "epoch_there", "ranges", "differ", "tokens");
     }
 
     @Test
-    void repairOfCopiesHasItsMembers() throws Exception {
-        assertThat(Cli.members(told("copies", "repair")))
+    void copiesRepairPrintsAllMembers() throws Exception {
+        assertThat(CommandResult.memberNames(json("copies", "repair")))
                 .containsExactly("name", "compares", "fetched");
     }
 }
--- a/src/test/java/ochretiller/golden/LogLinesTest.java
+++ b/src/test/java/ochretiller/golden/LogLinesTest.java
@@ -21,22 +21,22 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Lines of the log that pages name, and the forms of a line. */
+/** Pins the log lines that pages quote, and the JSON format of a log line. */
 class LogLinesTest {
     @TempDir private Path folder;
 
     private static void expect(WholeServer server, String... patterns) throws Exception {
         for (String pattern : patterns) {
             try {
-                WholeServer.until(() -> server.logged(pattern));
+                WholeServer.await(() -> server.hasLogged(pattern));
             } catch (AssertionError e) {
-                throw new AssertionError("no '" + pattern + "' among " + server.log, e);
+                throw new AssertionError("no line matches '" + pattern + "': " + server.log, e);
             }
         }
     }
 
     @Test
-    void codesInTheTableOfTheReadmeAreThoseOfConnections() throws Exception {
+    void readmeListsAllCloseCodes() throws Exception {
         String readme = Files.readString(Path.of("README.md"));
         String table = readme.substring(readme.indexOf("| code | meaning |"));
         assertThat(
@@ -61,36 +61,44 @@
     }
 
     @Test
-    void startReloadAndDrainLeaveTheLinesThatPagesName() throws Exception {
+    void startReloadAndDrainWriteTheQuotedLines() throws Exception {
         WholeServer server = new WholeServer(folder);
         try (server) {
             expect(
                     server,
                     "n1 listens on /127\\.0\\.0\\.1:\\d+",
-                    "remembers 0 keyed invocations, the ends of 0 unknown, read in .*",
-                    "the processor is up, warm, started \\d+ ms ago",
+                    "idempotency store has 0 keyed invocations, 0 of them with unknown outcome,"
+                            + " read in .*",
+                    "processor is available, warm, started \\d+ ms ago",
                     "n1/[0-9a-f]+ takes part in fleet parts at 127\\.0\\.0\\.1:\\d+",
                     "fleet: joined, with 0 others");
-            try (FakeConnection gateway = server.dial()) {
-                gateway.send(GatewayMessages.message(1, "read", "{}")).line();
+            try (FakeConnection gateway = server.connect()) {
+                gateway.send(GatewayMessages.message(1, "read", "{}")).readLine();
                 expect(server, "bad input from gateway /127\\.0\\.0\\.1:\\d+: -32602 .*");
             }
             expect(server, "connection gateway /127\\.0\\.0\\.1:\\d+ ended: [A-Z_]+");
             server.node.reload();
-            expect(server, "takes the addresses of its configuration again");
+            expect(
+                    server,
+                    "configuration reloaded: processor=/127\\.0\\.0\\.1:\\d+,"
+                            + " records=/127\\.0\\.0\\.1:\\d+, roster=/127\\.0\\.0\\.1:\\d+");
             Files.writeString(server.config, "[]");
             server.node.reload();
-            expect(server, "stays with its configuration: .*");
+            expect(server, "configuration not reloaded, keeping the current one: .*");
         }
-        expect(server, "leaves", "ends", "connection link /127\\.0\\.0\\.1:\\d+ ended: LEAVING");
+        expect(
+                server,
+                "server is draining, shutdown timeout 500 ms",
+                "server has stopped",
+                "connection link /127\\.0\\.0\\.1:\\d+ ended: LEAVING");
     }
 
     @Test
-    void aLineOfJsonHasItsMembers() throws Exception {
+    void jsonLogLineHasTheExpectedMembers() throws Exception {
         Logger root = Logger.getLogger("");
-        Map<Handler, Formatter> before = new LinkedHashMap<>();
-        for (Handler each : root.getHandlers()) {
-            before.put(each, each.getFormatter());
+        Map<Handler, Formatter> originalFormatters = new LinkedHashMap<>();
+        for (Handler handler : root.getHandlers()) {
+            originalFormatters.put(handler, handler.getFormatter());
         }
         LogRecord entry = new LogRecord(Level.WARNING, "a message");
         entry.setLoggerName("a.package.Part");
@@ -100,9 +108,10 @@
             LoggingSetup.useJsonFormat();
             line = new ObjectMapper().readTree(root.getHandlers()[0].getFormatter().format(entry));
         } finally {
-            before.forEach(Handler::setFormatter);
+            originalFormatters.forEach(Handler::setFormatter);
         }
-        assertThat(Cli.members(line)).isEqualTo(List.of("at", "level", "part", "message", "trace"));
+        assertThat(CommandResult.memberNames(line))
+                .isEqualTo(List.of("at", "level", "part", "message", "trace"));
         assertThat(line.get("level").asText()).isEqualTo("WARNING");
         assertThat(line.get("part").asText()).isEqualTo("Part");
     }
--- a/src/test/java/ochretiller/node/AttemptFixture.java
+++ b/src/test/java/ochretiller/node/AttemptFixture.java
@@ -20,7 +20,7 @@
 import ochretiller.net.Connection;
 import ochretiller.net.Network;
 
-/** One connected client whose requests a test makes up, and a list of what happens to them. */
+/** One connected client whose requests a test creates, and a list of the answers it gets. */
 final class AttemptFixture implements AutoCloseable {
     static final Duration SECOND = Duration.ofSeconds(1);
     static final Operation READ =
@@ -53,34 +53,35 @@
     final Network network = new Network(loop, MEMORY_BYTES);
     final ClientConnections connections;
     private final List<String> events;
-    private final BlockingQueue<Client> accepted = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Client> acceptedClients = new LinkedBlockingQueue<>();
     private final Socket socket;
     private final Client client;
-    private long requests;
+    private long requestCount;
 
-    /** Writes the answers that it gets to the list of events. */
+    /** Adds each answer to the list of events. */
     private final class Client extends ClientConnection {
         Client(Connection connection) {
             super(connection, connections);
         }
 
         @Override
-        public Runnable received(byte[] bytes, int from, int to) {
+        public Runnable decode(byte[] bytes, int from, int to) {
             return null;
         }
 
         @Override
-        protected void succeeds(RequestAttempt attempt, byte[] result, boolean replayed) {
+        protected void writeResult(RequestAttempt attempt, byte[] result, boolean replayed) {
             events.add((replayed ? "replay " : "answer ") + new String(result));
         }
 
         @Override
-        protected void throttles(RequestAttempt attempt, Duration retryAfter, boolean last) {
+        protected void writeThrottled(
+                RequestAttempt attempt, Duration retryAfter, boolean isFinal) {
             events.add("throttle");
         }
 
         @Override
-        protected void fails(RequestAttempt attempt, FailureReason reason) {
+        protected void writeError(RequestAttempt attempt, FailureReason reason) {
             events.add("error " + reason);
         }
     }
@@ -96,30 +97,30 @@
                         attempt -> {},
                         attempt -> {});
         int port;
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            port = free.getLocalPort();
+        try (ServerSocket unusedPort = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            port = unusedPort.getLocalPort();
         }
         network.listen(
                 "test",
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
                 connection -> {
-                    Client made = new Client(connection);
-                    connections.accepted(made);
-                    accepted.add(made);
-                    return made;
+                    Client newClient = new Client(connection);
+                    connections.register(newClient);
+                    acceptedClients.add(newClient);
+                    return newClient;
                 });
         socket = new Socket(InetAddress.getLoopbackAddress(), port);
-        client = accepted.poll(MAX_WAIT_S, TimeUnit.SECONDS);
-        loop.all();
+        client = acceptedClients.poll(MAX_WAIT_S, TimeUnit.SECONDS);
+        loop.runPosted();
     }
 
-    /** Reads a request; a keyed one has a token. */
-    RequestAttempt read(Operation operation, String body) {
-        requests++;
+    /** Opens a request of the client; that of a keyed operation has a token. */
+    RequestAttempt receive(Operation operation, String body) {
+        requestCount++;
         RequestAttempt attempt =
                 new RequestAttempt(
                         connections.nextId(),
-                        "rid" + requests,
+                        "rid" + requestCount,
                         operation,
                         1,
                         1,
@@ -129,8 +130,8 @@
                         null,
                         body.getBytes(),
                         client,
-                        requests);
-        connections.opened(attempt);
+                        requestCount);
+        connections.addAttempt(attempt);
         return attempt;
     }
 
--- a/src/test/java/ochretiller/operator/OperatorConfigReaderTest.java
+++ b/src/test/java/ochretiller/operator/OperatorConfigReaderTest.java
@@ -13,20 +13,20 @@
 
 class OperatorConfigReaderTest {
     @Test
-    void exampleIsGood() {
+    void readsTheExample() {
         OperatorConfig example = OperatorConfigReader.read(Path.of("deploy/operator.json5"));
         assertThat(example.jsonLog()).isTrue();
-        assertThat(example.remember())
+        assertThat(example.durability())
                 .hasValueSatisfying(
                         remember -> {
-                            assertThat(remember.mostBytes()).isEqualTo(64L << 20);
-                            assertThat(remember.stall()).isEqualTo(Duration.ofMillis(250));
+                            assertThat(remember.maxBytes()).isEqualTo(64L << 20);
+                            assertThat(remember.stallThreshold()).isEqualTo(Duration.ofMillis(250));
                         });
     }
 
     @Test
-    void emptyOneSwitchesNothingOn() {
-        assertThat(OperatorConfigReader.of("{ /* nothing */ }", "f"))
+    void emptyFileEnablesNothing() {
+        assertThat(OperatorConfigReader.parse("{ /* nothing */ }", "f"))
                 .isEqualTo(OperatorConfig.NONE);
     }
 
@@ -51,9 +51,9 @@
                 "{ log:                                      | f:1: ; f",
                 "log                                         | f:1:1: ; log"
             })
-    void faultIsNamedWithItsPlace(String text, String named) {
-        String[] parts = named.split(" ; ");
-        assertThatThrownBy(() -> OperatorConfigReader.of(text.replace("\\n", "\n"), "f"))
+    void reportsFaultWithItsPosition(String text, String expected) {
+        String[] parts = expected.split(" ; ");
+        assertThatThrownBy(() -> OperatorConfigReader.parse(text.replace("\\n", "\n"), "f"))
                 .isInstanceOf(MalformedException.class)
                 .message()
                 .startsWith(parts[0].trim())
@@ -62,26 +62,26 @@
     }
 
     @Test
-    void fleetIsReadWithWhatIsUsual() {
-        OperatorConfig told =
-                OperatorConfigReader.of(
+    void readsFleetWithDefaults() {
+        OperatorConfig config =
+                OperatorConfigReader.parse(
                         "{ fleet: { name: 'parts', listen: '127.0.0.1:4200', key_file: '/k', seeds:"
                                 + " ['10.0.0.2:4200'], forget_s: 60 } }",
                         "f");
-        assertThat(told.fleet())
+        assertThat(config.fleet())
                 .hasValueSatisfying(
                         fleet -> {
                             assertThat(fleet.seeds())
                                     .containsExactly(new PeerAddress("10.0.0.2", 4200));
-                            assertThat(fleet.pace().probeInterval())
+                            assertThat(fleet.timing().probeInterval())
                                     .isEqualTo(Duration.ofMillis(100));
-                            assertThat(fleet.pace().departedRetention())
+                            assertThat(fleet.timing().departedRetention())
                                     .isEqualTo(Duration.ofSeconds(60));
                         });
     }
 
     @Test
-    void absentFileIsNamed() {
+    void reportsMissingFile() {
         assertThatThrownBy(() -> OperatorConfigReader.read(Path.of("none.json5")))
                 .hasMessageContaining("none.json5");
     }
--- a/src/test/java/ochretiller/text/FramesTest.java
+++ b/src/test/java/ochretiller/text/FrameDecoderTest.java
@@ -7,23 +7,23 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class FramesTest {
+class FrameDecoderTest {
     private final List<String> messages = new ArrayList<>();
-    private final Frames frames =
-            new Frames(
+    private final FrameDecoder frames =
+            new FrameDecoder(
                     100,
                     true,
                     line -> {
                         List<String> words = line.words();
                         return words.get(0).equals("body")
                                 ? Integer.parseInt(words.get(1))
-                                : Frames.NONE;
+                                : FrameDecoder.NO_BODY;
                     });
 
-    private List<String> feed(Frames to, String text) {
+    private List<String> feed(FrameDecoder target, String text) {
         messages.clear();
         Slice slice = Slice.of(text);
-        to.read(
+        target.decode(
                 slice.bytes(),
                 slice.from(),
                 slice.to(),
@@ -32,13 +32,13 @@
     }
 
     @Test
-    void cutsLinesAndBodies() {
+    void splitsLinesAndBodies() {
         assertThat(feed(frames, "one\r\nbody 4\r\na\r\nb\r\nbody 0\r\n\r\ntwo\r\n"))
                 .containsExactly("one|", "body 4|a\r\nb", "body 0|", "two|");
     }
 
     @Test
-    void joinsWhatComesInPieces() {
+    void assemblesMessagesFromSingleBytes() {
         List<String> all = new ArrayList<>();
         for (char c : "one\r\nbody 4\r\na\r\nb\r\ntwo\r\n".toCharArray()) {
             all.addAll(feed(frames, "" + c));
@@ -47,18 +47,22 @@
     }
 
     @Test
-    void messagesOutliveWhatIsReadNext() {
-        List<Slice> kept = new ArrayList<>();
+    void linesStayIntactDuringLaterReads() {
+        List<Slice> lines = new ArrayList<>();
         for (String text : List.of("fi", "rst\r\nse", "cond\r\nthi")) {
             Slice slice = Slice.of(text);
-            frames.read(slice.bytes(), slice.from(), slice.to(), (line, body) -> kept.add(line));
+            frames.decode(slice.bytes(), slice.from(), slice.to(), (line, body) -> lines.add(line));
         }
-        assertThat(kept).extracting(Slice::text).containsExactly("first", "second");
+        assertThat(lines).extracting(Slice::text).containsExactly("first", "second");
     }
 
     @Test
-    void refusesWhatIsTooLongOrLies() {
-        assertThatThrownBy(() -> feed(new Frames(10, false, line -> Frames.NONE), "x".repeat(400)))
+    void rejectsTooLongOrMalformedInput() {
+        assertThatThrownBy(
+                        () ->
+                                feed(
+                                        new FrameDecoder(10, false, line -> FrameDecoder.NO_BODY),
+                                        "x".repeat(400)))
                 .isInstanceOf(BadInputException.class);
         assertThatThrownBy(() -> feed(frames, "body 101\r\n"))
                 .isInstanceOf(BadInputException.class);
--- a/tools/src/main/java/ochretiller/tools/ResultTable.java
+++ b/tools/src/main/java/ochretiller/tools/ResultTable.java
@@ -7,30 +7,30 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Rows of one measurement: shown as they come, and kept as CSV. */
+/** The rows of one measurement: printed as they are added, and saved as a CSV file. */
 final class ResultTable {
     private final Path file;
     private final List<String> lines = new ArrayList<>();
 
     ResultTable(String name, String... columns) {
-        this.file = ToolsCommand.FIGURES.resolve(name + ".csv");
+        this.file = ToolsCommand.FIGURES_DIRECTORY.resolve(name + ".csv");
         lines.add(String.join(",", columns));
         System.out.println(String.join("  ", columns));
     }
 
-    void row(Object... values) {
-        List<String> texts = new ArrayList<>();
+    void addRow(Object... values) {
+        List<String> cells = new ArrayList<>();
         for (Object value : values) {
-            texts.add(
+            cells.add(
                     value instanceof Double number
                             ? String.format(Locale.ROOT, number < 100 ? "%.3f" : "%.0f", number)
                             : String.valueOf(value));
         }
-        lines.add(String.join(",", texts));
-        System.out.println(String.join("  ", texts));
+        lines.add(String.join(",", cells));
+        System.out.println(String.join("  ", cells));
     }
 
-    void keep() throws IOException {
+    void save() throws IOException {
         Files.createDirectories(file.getParent());
         Files.write(file, lines);
     }
--- a/tools/src/main/java/ochretiller/tools/ToolsCommand.java
+++ b/tools/src/main/java/ochretiller/tools/ToolsCommand.java
@@ -6,13 +6,13 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Measurements, each a command of its own; their tables and charts are kept in docs/figures. */
+/** Command line of the benches, one subcommand each; it saves tables and charts in docs/figures. */
 @Command(
         name = "tools",
         mixinStandardHelpOptions = true,
         description = "Measure the server and its parts.")
 final class ToolsCommand {
-    static final Path FIGURES = Path.of("docs", "figures");
+    static final Path FIGURES_DIRECTORY = Path.of("docs", "figures");
 
     @Command(
             description =
@@ -28,8 +28,8 @@
             throws Exception {
         StoreBench bench =
                 new StoreBench(folder == null ? Path.of("target", "store-bench") : folder, quick);
-        bench.appends();
-        bench.recovery();
+        bench.measureAppends();
+        bench.measureRecovery();
         return 0;
     }
 
@@ -71,7 +71,7 @@
     @Command(description = "CPU that an invocation costs the server by each protocol.")
     int cpu(@Option(names = "--quick", description = "Shorter rounds.") boolean quick)
             throws Exception {
-        new MixBench(quick ? 3 : 6).cpu(quick ? 2 : 4);
+        new MixBench(quick ? 3 : 6).measureCpu(quick ? 2 : 4);
         return 0;
     }
 
@@ -114,10 +114,10 @@
         return 0;
     }
 
-    public static void main(String[] words) {
-        if (List.of(words).isEmpty()) {
-            words = new String[] {"--help"};
+    public static void main(String[] args) {
+        if (List.of(args).isEmpty()) {
+            args = new String[] {"--help"};
         }
-        System.exit(new CommandLine(new ToolsCommand()).execute(words));
+        System.exit(new CommandLine(new ToolsCommand()).execute(args));
     }
 }
