--- a/src/test/java/ochretiller/FleetIT.java
+++ b/src/test/java/ochretiller/FleetIT.java
@@ -111,6 +111,6 @@
                                 writeOperatorConfig(
                                                 Deployment.freePort(), "a key that is long enough")
                                         .toString()))
-                .contains("cannot ask");
+                .contains("cannot connect to the server at");
     }
 }
